--- a/crates/daemon/src/dispatch/peering.rs
+++ b/crates/daemon/src/dispatch/peering.rs
@@ -127,14 +127,18 @@
     /// Tells the peer thread what the next reports carry.
     pub(super) fn report(&mut self, now: Time) {
         let pools = &self.snapshot.pools;
-        let demands = self.engine.report(now).into_iter().filter_map(|demand| {
-            let pool = pools.iter().find(|pool| pool.key == demand.pool)?;
-            Some(Reported {
-                pool: Tag::of(&pool.name),
-                slots: demand.slots,
-                spill: demand.spill,
-            })
-        });
+        let demands = self
+            .engine
+            .report_demand(now)
+            .into_iter()
+            .filter_map(|demand| {
+                let pool = pools.iter().find(|pool| pool.key == demand.pool)?;
+                Some(Reported {
+                    pool: Tag::of(&pool.name),
+                    slots: demand.millislots,
+                    spill: demand.spill_millislots,
+                })
+            });
         let demands = demands.collect();
         let joining = matches!(self.keyed.lease.state(), State::Joining(_));
         self.notify(Notice::Demand { demands, joining });
@@ -153,8 +157,8 @@
                 .find(|pool| Tag::of(&pool.name) == demand.pool)?;
             Some(Demand {
                 pool: pool.key,
-                slots: demand.slots,
-                spill: demand.spill,
+                millislots: demand.slots,
+                spill_millislots: demand.spill,
             })
         });
         demands.collect()
@@ -216,7 +220,7 @@
         let zones = &self.snapshot.zones;
         if let Some((_, key)) = zones.iter().find(|(name, _)| name == zone) {
             let id = hash::identity(&entry.host, entry.incarnation);
-            self.engine.expect(now, id, *key);
+            self.engine.add_peer(now, id, *key);
         }
         let member = self
             .keyed
@@ -239,7 +243,7 @@
         };
         self.journal.record(Event::new(now, kind).detail(offset));
         self.engine
-            .forget_peer(hash::identity(&entry.host, entry.incarnation));
+            .remove_peer(hash::identity(&entry.host, entry.incarnation));
     }
 
     fn hear_demand(&mut self, now: Time, heard: &Heard) {
@@ -251,10 +255,10 @@
         let peer = Peer {
             id: hash::identity(&heard.entry.host, heard.entry.incarnation),
             availability_zone: *zone,
-            heard: now,
+            last_report: now,
             demands,
         };
-        self.engine.hear(peer);
+        self.engine.update_peer(peer);
     }
 
     fn hear_sign(&mut self, now: Time, sign: &Leaving) {
@@ -289,7 +293,7 @@
             }
             Directive::Lost(entry) => {
                 let id = hash::identity(&entry.host, entry.incarnation);
-                self.engine.forget_peer(id);
+                self.engine.remove_peer(id);
             }
             Directive::Retire(entry) => self.retire(entry),
             Directive::Accept(number, handover) => self.accept(now, number, *handover),
--- a/crates/dispatch/src/engine/engine.rs
+++ b/crates/dispatch/src/engine/engine.rs
@@ -296,7 +296,7 @@
         };
         for (pool, _) in &customer.shares {
             if let Some(pool) = self.pools.get_mut(*pool) {
-                pool.queue.release(key);
+                pool.queue.unpark(key);
                 pool.dirty = true;
             }
         }
--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -39,9 +39,9 @@
     /// The pool.
     pub pool: pool::Key,
     /// Slots that the entry could use.
-    pub slots: u64,
+    pub millislots: u64,
     /// The part of it that may use other availability zones.
-    pub spill: u64,
+    pub spill_millislots: u64,
 }
 
 /// Another entry and what it last reported.
@@ -52,7 +52,7 @@
     /// Where the entry runs.
     pub availability_zone: availability_zone::Key,
     /// When its last report came, or when its membership became known.
-    pub heard: Time,
+    pub last_report: Time,
     /// Its demand; pools without demand may be missing.
     pub demands: Vec<Demand>,
 }
@@ -64,7 +64,7 @@
     /// them.
     fn last_heard(&self, now: Time, home: availability_zone::Key) -> Time {
         match self.availability_zone == home {
-            true => self.heard,
+            true => self.last_report,
             false => now,
         }
     }
@@ -72,7 +72,7 @@
 
 impl Engine {
     /// Takes note of what another entry reported.
-    pub fn hear(&mut self, mut peer: Peer) {
+    pub fn update_peer(&mut self, mut peer: Peer) {
         peer.demands.sort_unstable_by_key(|demand| demand.pool);
         if peer.id == self.me {
             return;
@@ -84,14 +84,14 @@
     }
 
     /// Takes note of an entry whose membership has become known, so that it gets its part before its first report.
-    pub fn expect(&mut self, now: Time, id: u64, availability_zone: availability_zone::Key) {
+    pub fn add_peer(&mut self, now: Time, id: u64, availability_zone: availability_zone::Key) {
         if id == self.me || self.peers.iter().any(|peer| peer.id == id) {
             return;
         }
         self.peers.push(Peer {
             id,
             availability_zone,
-            heard: now,
+            last_report: now,
             demands: Vec::new(),
         });
     }
@@ -102,29 +102,29 @@
     }
 
     /// Forgets an entry that has left.
-    pub fn forget_peer(&mut self, id: u64) {
+    pub fn remove_peer(&mut self, id: u64) {
         self.peers.retain(|peer| peer.id != id);
     }
 
     /// Returns this entry's demand for its next report; pools without demand are left out.
-    pub fn report(&mut self, now: Time) -> Vec<Demand> {
+    pub fn report_demand(&mut self, now: Time) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (key, pool) in &mut self.pools {
             let others = self.peers.iter().filter(|peer| {
-                let silent = now.since(peer.heard) >= SILENCE_LIMIT;
+                let silent = now.since(peer.last_report) >= SILENCE_LIMIT;
                 peer.availability_zone == self.home && !silent
             });
-            let wants = others.map(|peer| find(&peer.demands, key).map_or(0, |it| it.slots));
+            let wants = others.map(|peer| find(&peer.demands, key).map_or(0, |it| it.millislots));
             // The division gives each entry one slot at least.
             let (count, wanted) = wants.fold((0, 0), |(count, sum), want| {
                 (count + 1, sum + want.max(partition::MILLI))
             });
-            let slots = pool.report(now, wanted, count);
-            if slots > 0 {
+            let millislots = pool.report(now, wanted, count);
+            if millislots > 0 {
                 demands.push(Demand {
                     pool: key,
-                    slots,
-                    spill: slots.min(u64::from(pool.spillable) * partition::MILLI),
+                    millislots,
+                    spill_millislots: millislots.min(u64::from(pool.spillable) * partition::MILLI),
                 });
             }
         }
@@ -249,8 +249,8 @@
         let mine = partition::Entry {
             id: self.me,
             availability_zone: self.home,
-            demand: own.map_or(0, |demand| demand.slots),
-            spill: own.map_or(0, |demand| demand.spill),
+            demand: own.map_or(0, |demand| demand.millislots),
+            spill: own.map_or(0, |demand| demand.spill_millislots),
             heard: now,
         };
         let peers = self.peers.iter().map(|peer| {
@@ -258,8 +258,8 @@
             partition::Entry {
                 id: peer.id,
                 availability_zone: peer.availability_zone,
-                demand: demand.map_or(0, |demand| demand.slots),
-                spill: demand.map_or(0, |demand| demand.spill),
+                demand: demand.map_or(0, |demand| demand.millislots),
+                spill: demand.map_or(0, |demand| demand.spill_millislots),
                 heard: peer.last_heard(now, self.home),
             }
         });
--- a/crates/dispatch/tests/common/pair.rs
+++ b/crates/dispatch/tests/common/pair.rs
@@ -123,7 +123,7 @@
         let snapshot = catalog.snapshot(1, true, values.iter(), &hosts);
         let mut engines = [1, 2].map(|id| Engine::new(home, 1, Limit::default(), id));
         for (engine, peer) in engines.iter_mut().zip([2, 1]) {
-            engine.expect(now, peer, home);
+            engine.add_peer(now, peer, home);
             engine.apply(now, &snapshot, &mut Vec::new());
         }
         Self {
@@ -212,15 +212,18 @@
 
     fn exchange(&mut self) {
         let now = self.now;
-        let demands = self.engines.each_mut().map(|engine| engine.report(now));
+        let demands = self
+            .engines
+            .each_mut()
+            .map(|engine| engine.report_demand(now));
         for entry in 0..2 {
             let peer = Peer {
                 id: [2, 1][entry],
                 availability_zone: self.home,
-                heard: now,
+                last_report: now,
                 demands: demands[1 - entry].clone(),
             };
-            self.engines[entry].hear(peer);
+            self.engines[entry].update_peer(peer);
             self.engines[entry].set_reported(demands[entry].clone());
         }
         for engine in &mut self.engines {
--- a/crates/dispatch/tests/common/world.rs
+++ b/crates/dispatch/tests/common/world.rs
@@ -150,7 +150,7 @@
         self.ticks += 1;
         if self.ticks.is_multiple_of(10) {
             self.hear();
-            let demands = self.engine.report(self.now);
+            let demands = self.engine.report_demand(self.now);
             self.engine.set_reported(demands);
             self.engine.divide(self.now);
             let live = self
@@ -269,19 +269,19 @@
             let pools: Vec<_> = self.snapshot.pools.iter().map(|pool| pool.key).collect();
             let demand = |pool| Demand {
                 pool,
-                slots: self.random.random_range(0..9_000),
-                spill: 0,
+                millislots: self.random.random_range(0..9_000),
+                spill_millislots: 0,
             };
             let demands = pools.into_iter().map(demand).collect();
-            let (id, heard) = (2, self.now);
+            let (id, last_report) = (2, self.now);
             let availability_zone = self.peer_zone;
-            self.engine.hear(Peer {
+            self.engine.update_peer(Peer {
                 id,
                 availability_zone,
-                heard,
+                last_report,
                 demands,
             });
-            self.peer_heard = Some(heard);
+            self.peer_heard = Some(last_report);
         }
     }
 
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -62,7 +62,7 @@
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + Duration::from_millis(100);
-            let demands = self.engine.report(self.now);
+            let demands = self.engine.report_demand(self.now);
             self.engine.set_reported(demands);
             self.engine.divide(self.now);
         }
--- a/crates/queue/src/queue/customers.rs
+++ b/crates/queue/src/queue/customers.rs
@@ -37,7 +37,7 @@
         if account.count > 0 {
             self.weight = self.weight - before + after;
         }
-        self.release(customer);
+        self.unpark(customer);
         self.reorder(customer);
     }
 
--- a/crates/queue/src/queue/queue.rs
+++ b/crates/queue/src/queue/queue.rs
@@ -140,12 +140,12 @@
             lane.flow.correct(charge.lane_epoch, charge.charged, actual);
             lane.learn(charge.expected, actual);
         }
-        self.release(charge.customer);
+        self.unpark(charge.customer);
         self.reorder(charge.customer);
     }
 
     /// Considers a customer again that was at its limit, for limits that `finish` doesn't tell of.
-    pub fn release(&mut self, customer: customer::Key) {
+    pub fn unpark(&mut self, customer: customer::Key) {
         if !self.parked.remove(customer) {
             return;
         }
--- a/crates/queue/src/queue/turn.rs
+++ b/crates/queue/src/queue/turn.rs
@@ -17,7 +17,7 @@
 impl Queue {
     /// Takes the request that is to start next, among customers for which `eligible` holds.
     ///
-    /// A customer for which it does not hold is passed over and asked again after `finish`, `release` or
+    /// A customer for which it does not hold is passed over and asked again after `finish`, `unpark` or
     /// `set_customer` for it. Without such a call, every `pop` asks two such customers again in turn, and up to 64
     /// if no other customer has a request.
     pub fn pop(&mut self, now: Time, eligible: impl Fn(customer::Key) -> bool) -> Option<Grant> {
@@ -114,7 +114,7 @@
             return;
         };
         if eligible(customer) {
-            return self.release(customer);
+            return self.unpark(customer);
         }
         let order = self.next_sequence();
         self.parked.set(customer, order);
--- a/crates/queue/tests/decisions.rs
+++ b/crates/queue/tests/decisions.rs
@@ -135,7 +135,7 @@
     let mut turns = (0..300).map(|_| bench.queue.pop(at(0), |customer| customer == last));
     assert!(turns.any(|grant| grant.is_some()), "found without notice");
     let told = bench.customers[120];
-    bench.queue.release(told);
+    bench.queue.unpark(told);
     let grant = bench.queue.pop(at(0), |customer| customer == told);
     assert_eq!(grant.unwrap().customer, told);
 }
