--- a/crates/claim/src/lease/confirm.rs
+++ b/crates/claim/src/lease/confirm.rs
@@ -2,10 +2,10 @@
 
 use super::{
     Answer,
+    JoinAck,
     Lease,
     Request,
     State,
-    Witness,
     round::Round, //
 };
 use crate::member::Entry;
@@ -27,7 +27,7 @@
     /// Starts a confirmation by the peers and returns the requests to send.
     ///
     /// Returns nothing if the last log read is too old, or if this entry itself has an append in flight.
-    pub fn ask(&mut self, now: Time) -> Vec<Request> {
+    pub fn request_confirmations(&mut self, now: Time) -> Vec<Request> {
         self.round = None;
         let fresh = self
             .last_read
@@ -70,20 +70,20 @@
     }
 
     /// Counts a peer's answer; the last one that was missing moves the horizon.
-    pub fn hear(&mut self, answer: &Answer) {
+    pub fn record_answer(&mut self, answer: &Answer) {
         if let Some(round) = &mut self.round {
-            round.hear(answer);
+            round.record_answer(answer);
             self.close_round();
         }
     }
 
     /// Testifies to a joining entry, if this entry is active and has read the join.
-    pub fn testify(&self, to: &Entry) -> Option<Witness> {
+    pub fn acknowledge_join(&self, to: &Entry) -> Option<JoinAck> {
         let State::Active(fence) = self.state else {
             return None;
         };
         self.own_zone()?.member(to)?;
-        Some(Witness {
+        Some(JoinAck {
             from: self.me.clone(),
             to: to.clone(),
             fence,
@@ -91,7 +91,7 @@
     }
 
     /// Takes the word of a witness that arrived at `now`, and tells whether it made this entry active.
-    pub fn witnessed(&mut self, now: Time, witness: &Witness) -> bool {
+    pub fn accept_join_ack(&mut self, now: Time, witness: &JoinAck) -> bool {
         if !matches!(self.state, State::Joining(_)) && !self.alone {
             return false;
         }
--- a/crates/claim/src/lease/message.rs
+++ b/crates/claim/src/lease/message.rs
@@ -31,7 +31,7 @@
 
 /// An active member's word that it has read the join of an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Witness {
+pub struct JoinAck {
     /// The active member.
     pub from: Entry,
     /// The entry that joined.
--- a/crates/claim/src/lease/mod.rs
+++ b/crates/claim/src/lease/mod.rs
@@ -17,7 +17,7 @@
 pub use limit::Limit;
 pub use message::{
     Answer,
-    Request,
-    Witness, //
+    JoinAck,
+    Request, //
 };
 pub use permit::Route;
--- a/crates/claim/src/lease/round.rs
+++ b/crates/claim/src/lease/round.rs
@@ -29,7 +29,7 @@
     }
 
     /// Counts an answer; answers to an earlier round don't match.
-    pub(super) fn hear(&mut self, answer: &Answer) {
+    pub(super) fn record_answer(&mut self, answer: &Answer) {
         if answer.agrees && answer.revision == self.revision && answer.start == self.start {
             self.waiting.retain(|entry| *entry != answer.from);
         }
--- a/crates/claim/src/table/handover.rs
+++ b/crates/claim/src/table/handover.rs
@@ -1,8 +1,8 @@
 //! Handover of outcomes to the entries to which keys moved.
 
 use super::{
-    Fate,
     Fingerprint,
+    RequestState,
     Size,
     Table,
     table::Record, //
@@ -38,8 +38,8 @@
     pub id: Id,
     /// Digest of customer and request.
     pub fingerprint: Fingerprint,
-    /// What became of it; a request that was still running is [`Fate::Lost`].
-    pub fate: Fate<A>,
+    /// What became of it; a request that was still running is [`RequestState::Lost`].
+    pub state: RequestState<A>,
 }
 
 /// The handover was not accepted; the fence against the sender stays.
@@ -136,12 +136,12 @@
         let Item {
             id,
             fingerprint,
-            fate,
+            state,
         } = item;
         if let Some(&slot) = self.index.get(&id) {
             let record = &mut self.records[slot];
-            if matches!(record.fate, Fate::Lost) && record.fingerprint == fingerprint {
-                record.fate = fate;
+            if matches!(record.state, RequestState::Lost) && record.fingerprint == fingerprint {
+                record.state = state;
                 self.bytes += size;
             }
             return;
@@ -149,7 +149,7 @@
         let slot = self.insert(Record {
             id,
             fingerprint,
-            fate,
+            state,
         });
         self.bytes += size;
         self.keep(slot, id);
@@ -158,24 +158,24 @@
 
 impl<A: Size> Item<A> {
     fn size(&self) -> usize {
-        match &self.fate {
-            Fate::Answered(answer) => answer.size(),
-            Fate::Running(_) | Fate::Dropped | Fate::Lost => 0,
+        match &self.state {
+            RequestState::Answered(answer) => answer.size(),
+            RequestState::Running(_) | RequestState::Dropped | RequestState::Lost => 0,
         }
     }
 }
 
 impl<A: Clone> From<&Record<A>> for Item<A> {
     fn from(record: &Record<A>) -> Self {
-        let fate = match &record.fate {
-            Fate::Answered(answer) => Fate::Answered(answer.clone()),
-            Fate::Dropped => Fate::Dropped,
-            Fate::Running(_) | Fate::Lost => Fate::Lost,
+        let state = match &record.state {
+            RequestState::Answered(answer) => RequestState::Answered(answer.clone()),
+            RequestState::Dropped => RequestState::Dropped,
+            RequestState::Running(_) | RequestState::Lost => RequestState::Lost,
         };
         Self {
             id: record.id,
             fingerprint: record.fingerprint,
-            fate,
+            state,
         }
     }
 }
--- a/crates/claim/src/table/mod.rs
+++ b/crates/claim/src/table/mod.rs
@@ -1,17 +1,10 @@
 //! Memory of keyed requests and their outcomes.
 
-mod fate;
 mod handover;
 mod limit;
+mod state;
 mod table;
 
-pub use fate::{
-    Begin,
-    Fate,
-    Fingerprint,
-    Size,
-    Slot, //
-};
 pub use handover::{
     Error,
     Handover,
@@ -21,4 +14,11 @@
     Count,
     Limit, //
 };
+pub use state::{
+    Admission,
+    Fingerprint,
+    RequestState,
+    Size,
+    Slot, //
+};
 pub use table::Table;
--- a/crates/claim/src/table/fate.rs
+++ b/crates/claim/src/table/state.rs
@@ -24,7 +24,7 @@
 
 /// What became of a keyed request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate<A> {
+pub enum RequestState<A> {
     /// The attempt runs under the ticket.
     Running(ticket::Key),
     /// An upstream answered.
@@ -37,7 +37,7 @@
 
 /// What to do with a keyed request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Begin {
+pub enum Admission {
     /// Run it and report its end under the slot.
     Run(Slot),
     /// Wait for the running attempt.
--- a/crates/claim/src/table/table.rs
+++ b/crates/claim/src/table/table.rs
@@ -1,11 +1,11 @@
 //! The bounded table of keyed requests of one entry.
 
 use super::{
-    Begin,
+    Admission,
     Count,
-    Fate,
     Fingerprint,
     Limit,
+    RequestState,
     Size,
     Slot, //
 };
@@ -28,7 +28,7 @@
 pub(super) struct Record<A> {
     pub(super) id: Id,
     pub(super) fingerprint: Fingerprint,
-    pub(super) fate: Fate<A>,
+    pub(super) state: RequestState<A>,
 }
 
 /// Keyed requests of one home zone and their outcomes; nothing is evicted before its time.
@@ -87,9 +87,9 @@
 
     /// Returns a stored answer.
     pub fn answer(&self, slot: Slot) -> Option<&A> {
-        match &self.records.get(slot)?.fate {
-            Fate::Answered(answer) => Some(answer),
-            Fate::Running(_) | Fate::Dropped | Fate::Lost => None,
+        match &self.records.get(slot)?.state {
+            RequestState::Answered(answer) => Some(answer),
+            RequestState::Running(_) | RequestState::Dropped | RequestState::Lost => None,
         }
     }
 
@@ -104,16 +104,16 @@
         fingerprint: Fingerprint,
         ticket: ticket::Key,
         permit: impl FnOnce() -> Result<(), Refusal>,
-    ) -> Begin {
+    ) -> Admission {
         self.expire(now);
         if let Some(&slot) = self.index.get(&id) {
             return self.repeat(slot, fingerprint);
         }
         if id.created() < self.forgotten() {
-            return Begin::Refuse(Refusal::unknown(Reason::KeyExpired));
+            return Admission::Refuse(Refusal::unknown(Reason::KeyExpired));
         }
         if let Err(refusal) = permit() {
-            return Begin::Refuse(refusal);
+            return Admission::Refuse(refusal);
         }
         if self.records.len() >= self.limit.count
             || self.bytes + self.limit.answer > self.limit.bytes
@@ -121,15 +121,15 @@
             self.count.full += 1;
             let mut refusal = Refusal::not_run(Reason::KeyTableFull);
             refusal.retry_after = self.room_in();
-            return Begin::Refuse(refusal);
+            return Admission::Refuse(refusal);
         }
         self.bytes += self.limit.answer;
         self.count.run += 1;
-        let fate = Fate::Running(ticket);
-        Begin::Run(self.insert(Record {
+        let state = RequestState::Running(ticket);
+        Admission::Run(self.insert(Record {
             id,
             fingerprint,
-            fate,
+            state,
         }))
     }
 
@@ -137,17 +137,17 @@
     pub fn finish(&mut self, now: Time, slot: Slot, answer: A) -> bool {
         let size = answer.size();
         let kept = size <= self.limit.answer;
-        let fate = if kept {
-            Fate::Answered(answer)
+        let state = if kept {
+            RequestState::Answered(answer)
         } else {
-            Fate::Dropped
+            RequestState::Dropped
         };
-        self.end(now, slot, fate, if kept { size } else { 0 })
+        self.end(now, slot, state, if kept { size } else { 0 })
     }
 
     /// Records that the outcome of a running request is not known; returns whether there is one under the slot.
     pub fn lost(&mut self, now: Time, slot: Slot) -> bool {
-        self.end(now, slot, Fate::Lost, 0)
+        self.end(now, slot, RequestState::Lost, 0)
     }
 
     /// Forgets a running request that certainly did not run, so that its key may run again; returns whether there is
@@ -176,7 +176,7 @@
             };
             self.index.remove(&record.id);
             self.count.expired += 1;
-            if let Fate::Answered(answer) = &record.fate {
+            if let RequestState::Answered(answer) = &record.state {
                 self.bytes -= answer.size();
             }
         }
@@ -203,44 +203,44 @@
         self.ends.push(Reverse((end, slot)));
     }
 
-    fn repeat(&mut self, slot: Slot, fingerprint: Fingerprint) -> Begin {
+    fn repeat(&mut self, slot: Slot, fingerprint: Fingerprint) -> Admission {
         let record = &self.records[slot];
         // The refusal is the same whatever became of the first request, since it may be another customer's. This
         // request did not run: the key ran at most once, for the other fingerprint.
         if record.fingerprint != fingerprint {
             self.count.conflict += 1;
-            return Begin::Refuse(Refusal::not_run(Reason::KeyConflict));
+            return Admission::Refuse(Refusal::not_run(Reason::KeyConflict));
         }
-        match record.fate {
-            Fate::Running(ticket) => {
+        match record.state {
+            RequestState::Running(ticket) => {
                 self.count.wait += 1;
-                Begin::Wait(ticket)
+                Admission::Wait(ticket)
             }
-            Fate::Answered(_) => {
+            RequestState::Answered(_) => {
                 self.count.replay += 1;
-                Begin::Replay(slot)
+                Admission::Replay(slot)
             }
-            Fate::Dropped => Begin::Refuse(Refusal {
+            RequestState::Dropped => Admission::Refuse(Refusal {
                 outcome: Outcome::Answered,
                 reason: Reason::AnswerDropped,
                 retry_after: None,
             }),
-            Fate::Lost => Begin::Refuse(Refusal::unknown(Reason::ConnectionLost)),
+            RequestState::Lost => Admission::Refuse(Refusal::unknown(Reason::ConnectionLost)),
         }
     }
 
     fn is_running(&self, slot: Slot) -> bool {
         let record = self.records.get(slot);
-        record.is_some_and(|record| matches!(record.fate, Fate::Running(_)))
+        record.is_some_and(|record| matches!(record.state, RequestState::Running(_)))
     }
 
-    fn end(&mut self, now: Time, slot: Slot, fate: Fate<A>, size: usize) -> bool {
+    fn end(&mut self, now: Time, slot: Slot, state: RequestState<A>, size: usize) -> bool {
         if !self.is_running(slot) {
             return false;
         }
         self.latest = self.latest.max(now);
         let record = &mut self.records[slot];
-        record.fate = fate;
+        record.state = state;
         let id = record.id;
         self.bytes = self.bytes - self.limit.answer + size;
         self.keep(slot, id);
--- a/crates/claim/tests/cost.rs
+++ b/crates/claim/tests/cost.rs
@@ -42,8 +42,8 @@
             }
         }
         let me = leases[index].me().clone();
-        if let Some(witness) = leases[0].testify(&me) {
-            leases[index].witnessed(at(0), &witness);
+        if let Some(witness) = leases[0].acknowledge_join(&me) {
+            leases[index].accept_join_ack(at(0), &witness);
         }
     }
     assert!(
@@ -65,14 +65,14 @@
     for second in 31..=30 + outage {
         let alive = |index: usize| index != 0 || lost.is_none_or(|at| second < 30 + at);
         for index in (0..ENTRIES).filter(|index| alive(*index)) {
-            for request in leases[index].ask(at(second)) {
+            for request in leases[index].request_confirmations(at(second)) {
                 let peer = (0..ENTRIES)
                     .find(|peer| *leases[*peer].me() == request.to)
                     .unwrap();
                 if alive(peer)
                     && let Some(answer) = leases[peer].answer(&request)
                 {
-                    leases[index].hear(&answer);
+                    leases[index].record_answer(&answer);
                 }
             }
         }
--- a/crates/claim/tests/interleave.rs
+++ b/crates/claim/tests/interleave.rs
@@ -122,9 +122,9 @@
                 .is_some_and(|(start, end)| self.apply(0, start, end)),
             Step::Peers(index) => {
                 let before = self.leases[index].horizon();
-                for request in self.leases[index].ask(self.clock(index)) {
+                for request in self.leases[index].request_confirmations(self.clock(index)) {
                     if let Some(answer) = self.leases[1 - index].answer(&request) {
-                        self.leases[index].hear(&answer);
+                        self.leases[index].record_answer(&answer);
                     }
                 }
                 self.leases[index].horizon() > before
@@ -133,8 +133,9 @@
             Step::Retire => self.append(|lease| lease[1].retire(lease[0].me().clone()).ok()),
             Step::Leave => self.append(|lease| lease[0].leave().ok()),
             Step::Witness => {
-                let witness = self.leases[0].testify(&self.leases[1].me().clone());
-                witness.is_some_and(|witness| self.leases[1].witnessed(self.clock(1), &witness))
+                let witness = self.leases[0].acknowledge_join(&self.leases[1].me().clone());
+                witness
+                    .is_some_and(|witness| self.leases[1].accept_join_ack(self.clock(1), &witness))
             }
         }
     }
--- a/crates/claim/tests/lease.rs
+++ b/crates/claim/tests/lease.rs
@@ -51,8 +51,8 @@
     log.push(join(&mut b));
     read(&mut a, 901, &log);
     read(&mut b, 901, &log);
-    let witness = a.testify(b.me()).unwrap();
-    assert!(b.witnessed(at(901), &witness));
+    let witness = a.acknowledge_join(b.me()).unwrap();
+    assert!(b.accept_join_ack(at(901), &witness));
     read(&mut a, 1_000, &log);
     read(&mut b, 1_000, &log);
     (a, b, log)
@@ -127,12 +127,12 @@
 #[test]
 fn only_the_named_process_confirms_and_only_its_round() {
     let (mut a, b, _) = pair();
-    let old = a.ask(at(1_003)).remove(0);
-    let request = a.ask(at(1_010)).remove(0);
+    let old = a.request_confirmations(at(1_003)).remove(0);
+    let request = a.request_confirmations(at(1_010)).remove(0);
     assert_eq!(lease("b", 2).answer(&request), None);
-    a.hear(&b.answer(&old).unwrap());
+    a.record_answer(&b.answer(&old).unwrap());
     assert_eq!(a.horizon(), at(1_005));
-    a.hear(&b.answer(&request).unwrap());
+    a.record_answer(&b.answer(&request).unwrap());
     assert_eq!(a.horizon(), at(1_015));
 }
 
@@ -140,10 +140,10 @@
 #[test]
 fn a_peer_with_an_append_in_flight_does_not_confirm() {
     let (mut a, mut b, mut log) = pair();
-    let request = a.ask(at(1_010)).remove(0);
+    let request = a.request_confirmations(at(1_010)).remove(0);
     let record = b.retire(a.me().clone()).unwrap();
     assert!(!b.answer(&request).unwrap().agrees);
-    assert!(b.ask(at(1_010)).is_empty());
+    assert!(b.request_confirmations(at(1_010)).is_empty());
     log.push(record);
     read(&mut b, 1_011, &log);
     assert!(!b.answer(&request).unwrap().agrees);
@@ -153,8 +153,8 @@
 #[test]
 fn peers_confirm_for_d_after_the_last_log_read() {
     let (mut a, _, _) = pair();
-    assert_eq!(a.ask(at(1_900)).len(), 1);
-    assert!(a.ask(at(1_901)).is_empty());
+    assert_eq!(a.request_confirmations(at(1_900)).len(), 1);
+    assert!(a.request_confirmations(at(1_901)).is_empty());
 }
 
 /// Guards against a late witness that leaves the long fence in place, and a new witness that hides its own.
@@ -171,12 +171,16 @@
     log.push(join(&mut d));
     read(&mut c, 1_007, &log);
     read(&mut d, 1_007, &log);
-    assert!(d.witnessed(at(1_007), &c.testify(d.me()).unwrap()));
+    assert!(d.accept_join_ack(at(1_007), &c.acknowledge_join(d.me()).unwrap()));
     assert_eq!(d.state(), long);
-    assert_eq!(a.testify(c.me()), None, "a has not read the join of c");
+    assert_eq!(
+        a.acknowledge_join(c.me()),
+        None,
+        "a has not read the join of c"
+    );
     let mut a = a;
     read(&mut a, 1_008, &log);
-    assert!(c.witnessed(at(1_010), &a.testify(c.me()).unwrap()));
+    assert!(c.accept_join_ack(at(1_010), &a.acknowledge_join(c.me()).unwrap()));
     assert_eq!(c.state(), State::Active(at(1_016)));
 }
 
--- a/crates/claim/tests/table.rs
+++ b/crates/claim/tests/table.rs
@@ -40,20 +40,20 @@
     Id::from_bits(u128::from(created * 1_000) << 80 | u128::from(low))
 }
 
-fn begin(table: &mut Table<Reply>, now: u64, id: Id) -> Begin {
+fn begin(table: &mut Table<Reply>, now: u64, id: Id) -> Admission {
     table.begin(at(now), id, ME, ticket::Key::default(), || Ok(()))
 }
 
 fn run(table: &mut Table<Reply>, now: u64, id: Id) -> Slot {
     match begin(table, now, id) {
-        Begin::Run(slot) => slot,
+        Admission::Run(slot) => slot,
         other => panic!("{other:?}"),
     }
 }
 
-fn refused(begin: Begin) -> (Outcome, Reason) {
+fn refused(begin: Admission) -> (Outcome, Reason) {
     match begin {
-        Begin::Refuse(refusal) => (refusal.outcome, refusal.reason),
+        Admission::Refuse(refusal) => (refusal.outcome, refusal.reason),
         other => panic!("{other:?}"),
     }
 }
@@ -66,11 +66,11 @@
     let slot = run(&mut table, 1_000, a);
     assert_eq!(
         begin(&mut table, 1_000, a),
-        Begin::Wait(ticket::Key::default())
+        Admission::Wait(ticket::Key::default())
     );
     assert!(table.finish(at(1_001), slot, Reply(7)));
     assert!(!table.lost(at(1_001), slot), "an attempt ends once");
-    assert_eq!(begin(&mut table, 1_002, a), Begin::Replay(slot));
+    assert_eq!(begin(&mut table, 1_002, a), Admission::Replay(slot));
     assert_eq!(table.answer(slot), Some(&Reply(7)));
     let slot = run(&mut table, 1_000, b);
     assert!(table.not_run(slot));
@@ -93,7 +93,7 @@
 #[test]
 fn another_fingerprint_gets_the_same_conflict_in_every_state() {
     let mut table = Table::new(LIMIT);
-    let conflict = Begin::Refuse(Refusal::not_run(Reason::KeyConflict));
+    let conflict = Admission::Refuse(Refusal::not_run(Reason::KeyConflict));
     let other = |table: &mut Table<Reply>, id| {
         table.begin(
             at(1_000),
@@ -121,8 +121,8 @@
     let early = id(1_005, 1);
     let slot = run(&mut table, 1_000, early);
     table.finish(at(1_001), slot, Reply(1));
-    assert_eq!(begin(&mut table, 1_603, early), Begin::Replay(slot));
-    assert_eq!(begin(&mut table, 1_605, early), Begin::Replay(slot));
+    assert_eq!(begin(&mut table, 1_603, early), Admission::Replay(slot));
+    assert_eq!(begin(&mut table, 1_605, early), Admission::Replay(slot));
     assert_eq!(
         refused(begin(&mut table, 1_606, early)),
         (Outcome::Unknown, Reason::KeyExpired)
@@ -149,7 +149,7 @@
     assert_eq!(refused(begin(&mut table, 1_600, id(1_600, 40))), full);
     assert!(matches!(
         begin(&mut table, 1_600, id(1_000, 39)),
-        Begin::Replay(_)
+        Admission::Replay(_)
     ));
     run(&mut table, 1_601, id(1_600, 40));
     let mut table = Table::new(Limit {
@@ -194,7 +194,7 @@
     read(&mut b, 100, &log);
     let (mut old, mut new) = (Table::new(LIMIT), Table::new(LIMIT));
     let join = old.export(&a, b.me()).unwrap();
-    assert!(b.witnessed(at(100), &a.testify(b.me()).unwrap()));
+    assert!(b.accept_join_ack(at(100), &a.acknowledge_join(b.me()).unwrap()));
     new.accept(at(100), &mut b, join).unwrap();
     assert!(
         (0..9).all(|low| b.fence(id(0, low).hash()) == Time::MIN),
@@ -211,8 +211,8 @@
     let handover = old.export(&a, b.me()).unwrap();
     assert_eq!((handover.items.len(), handover.floor), (40, at(400)));
     assert_eq!(
-        handover.items[0].fate,
-        Fate::Lost,
+        handover.items[0].state,
+        RequestState::Lost,
         "a running attempt may have run"
     );
     assert_eq!(
@@ -237,7 +237,9 @@
     let again = old.export(&a, b.me()).unwrap();
     assert_eq!(new.accept(at(1_002), &mut b, again), Ok(0));
     assert_eq!(new.accept(at(1_002), &mut b, handover), Ok(0));
-    assert!((0..40).all(|low| matches!(begin(&mut new, 1_003, id(1_000, low)), Begin::Replay(_))));
+    assert!(
+        (0..40).all(|low| matches!(begin(&mut new, 1_003, id(1_000, low)), Admission::Replay(_)))
+    );
     assert_eq!(new.bytes(), 360);
 }
 
--- a/crates/claim/tests/world/call.rs
+++ b/crates/claim/tests/world/call.rs
@@ -98,7 +98,7 @@
             .table
             .begin(clock, key.id(), print, ticket::Key::default(), permit)
         {
-            Begin::Run(slot) => {
+            Admission::Run(slot) => {
                 self.tally.runs += 1;
                 self.calls[call].starts += 1;
                 if self.calls[call].starts > 1 {
@@ -109,12 +109,12 @@
                 let dice = self.rng.random_range(0..100);
                 self.send(None, me, Mail::Done(slot, call, dice));
             }
-            Begin::Wait(_) => self.tally.waits += 1,
-            Begin::Replay(_) => {
+            Admission::Wait(_) => self.tally.waits += 1,
+            Admission::Replay(_) => {
                 self.tally.replays += 1;
                 self.tell(call, Outcome::Answered);
             }
-            Begin::Refuse(refusal) => self.refuse(call, refusal),
+            Admission::Refuse(refusal) => self.refuse(call, refusal),
         }
     }
 
--- a/crates/claim/tests/world/entry.rs
+++ b/crates/claim/tests/world/entry.rs
@@ -71,7 +71,7 @@
         let (now, node) = (self.now, &mut self.nodes[index]);
         let mut out: Vec<(Entry, Mail)> = Vec::new();
         let peers = node.peers();
-        let asks = node.lease.ask(clock);
+        let asks = node.lease.request_confirmations(clock);
         for peer in &peers {
             let (first, last) = *node.heard.entry(peer.clone()).or_insert((now, now));
             let seeking = match node.lease.state() {
@@ -125,14 +125,14 @@
             Mail::Ask(request) => node.lease.answer(&request).map(Mail::Answer),
             Mail::Answer(answer) => {
                 let before = node.lease.horizon();
-                node.lease.hear(&answer);
+                node.lease.record_answer(&answer);
                 self.tally.by_peers += u64::from(node.lease.horizon() > before);
                 None
             }
-            Mail::Look(entry) => node.lease.testify(&entry).map(Mail::Witness),
+            Mail::Look(entry) => node.lease.acknowledge_join(&entry).map(Mail::Witness),
             Mail::Witness(witness) => {
                 let late = matches!(node.lease.state(), State::Active(_));
-                let lowered = node.lease.witnessed(clock, &witness);
+                let lowered = node.lease.accept_join_ack(clock, &witness);
                 self.tally.late_witness += u64::from(late && lowered);
                 None
             }
--- a/crates/claim/tests/world/world.rs
+++ b/crates/claim/tests/world/world.rs
@@ -35,7 +35,7 @@
     Ask(Request),
     Answer(Answer),
     Look(Entry),
-    Witness(Witness),
+    Witness(JoinAck),
     View(View),
     Handover(Handover<Reply>),
     Call(usize, u32),
--- a/crates/daemon/src/dispatch/dispatch.rs
+++ b/crates/daemon/src/dispatch/dispatch.rs
@@ -45,8 +45,8 @@
     },
 };
 use sassafrascrank_route::{
-    Report,
-    Sign,
+    AttemptResult,
+    DrainSource,
     partition::REPORT_INTERVAL, //
 };
 use std::sync::Arc;
@@ -233,7 +233,7 @@
         &mut self,
         now: Time,
         upstream: upstream::Key,
-        sign: Sign,
+        sign: DrainSource,
     ) -> bool {
         let first = self.engine.drain_upstream(now, upstream, sign);
         if first {
@@ -273,7 +273,7 @@
         &mut self,
         now: Time,
         caller: caller::Handle,
-        report: Report,
+        report: AttemptResult,
         answer: Option<Arc<Answer>>,
     ) {
         self.journal.finished(now, caller, report);
--- a/crates/daemon/src/dispatch/journal.rs
+++ b/crates/daemon/src/dispatch/journal.rs
@@ -11,7 +11,7 @@
     Sink,
     request, //
 };
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use slotmap::SecondaryMap;
 
 /// Records what becomes of each request.
@@ -102,21 +102,21 @@
         }
     }
 
-    pub(super) fn finished(&mut self, now: Time, caller: caller::Handle, report: Report) {
+    pub(super) fn finished(&mut self, now: Time, caller: caller::Handle, report: AttemptResult) {
         match report {
-            Report::Answered(_) | Report::Failed(_) => {
+            AttemptResult::Answered(_) | AttemptResult::Failed(_) => {
                 if let Some(request) = self.remove(caller) {
                     let service = now.since(request.since);
                     self.sink
                         .record(request.event(Event::answered(now, service)));
                 }
             }
-            Report::Cancelled => self.cancelled(now, caller),
-            Report::Unreachable | Report::Stale => {
+            AttemptResult::Cancelled => self.cancelled(now, caller),
+            AttemptResult::Unreachable | AttemptResult::Stale => {
                 self.attempt_failed(now, caller, Reason::ConnectFailed);
             }
-            Report::Lost => self.attempt_failed(now, caller, Reason::ConnectionLost),
-            Report::TimedOut => self.attempt_failed(now, caller, Reason::AttemptTimeout),
+            AttemptResult::Lost => self.attempt_failed(now, caller, Reason::ConnectionLost),
+            AttemptResult::TimedOut => self.attempt_failed(now, caller, Reason::AttemptTimeout),
         }
     }
 
--- a/crates/daemon/src/dispatch/keyed.rs
+++ b/crates/daemon/src/dispatch/keyed.rs
@@ -18,10 +18,10 @@
     },
     table::{
         self,
-        Begin,
-        Fate,
+        Admission,
         Fingerprint,
         Limit,
+        RequestState,
         Size,
         Slot,
         Table, //
@@ -138,19 +138,19 @@
         let fingerprint = Fingerprint(request.fingerprint);
         let permit = || lease.permit(now, key);
         let begin = self.table.begin(now, key.id(), fingerprint, ticket, permit);
-        if let Begin::Run(slot) = begin {
+        if let Admission::Run(slot) = begin {
             self.start(ticket, slot, caller);
             return Verdict::Run;
         }
         self.runs.remove(ticket);
         match begin {
-            Begin::Wait(ticket) => self.wait(ticket, caller),
-            Begin::Replay(slot) => match self.table.answer(slot) {
+            Admission::Wait(ticket) => self.wait(ticket, caller),
+            Admission::Replay(slot) => match self.table.answer(slot) {
                 Some(answer) => Verdict::Replay(answer.0.clone()),
                 None => Verdict::Refuse(Refusal::unknown(Reason::ConnectionLost)),
             },
-            Begin::Run(_) => Verdict::Run,
-            Begin::Refuse(refusal) => Verdict::Refuse(refusal),
+            Admission::Run(_) => Verdict::Run,
+            Admission::Refuse(refusal) => Verdict::Refuse(refusal),
         }
     }
 
@@ -191,7 +191,7 @@
         let items = handover.items.into_iter().map(|item| table::Item {
             id: item.id,
             fingerprint: item.fingerprint,
-            fate: convert(item.fate, |kept| stored(&kept.0)),
+            state: convert(item.state, |kept| stored(&kept.0)),
         });
         Some(table::Handover {
             from: handover.from,
@@ -207,7 +207,7 @@
         let items = handover.items.into_iter().map(|item| table::Item {
             id: item.id,
             fingerprint: item.fingerprint,
-            fate: convert(item.fate, |stored| Kept(Arc::new(kept(stored)))),
+            state: convert(item.state, |stored| Kept(Arc::new(kept(stored)))),
         });
         let handover = table::Handover {
             from: handover.from,
@@ -262,11 +262,11 @@
     }
 }
 
-fn convert<A, B>(fate: Fate<A>, answer: impl FnOnce(A) -> B) -> Fate<B> {
-    match fate {
-        Fate::Running(ticket) => Fate::Running(ticket),
-        Fate::Answered(it) => Fate::Answered(answer(it)),
-        Fate::Dropped => Fate::Dropped,
-        Fate::Lost => Fate::Lost,
+fn convert<A, B>(state: RequestState<A>, answer: impl FnOnce(A) -> B) -> RequestState<B> {
+    match state {
+        RequestState::Running(ticket) => RequestState::Running(ticket),
+        RequestState::Answered(it) => RequestState::Answered(answer(it)),
+        RequestState::Dropped => RequestState::Dropped,
+        RequestState::Lost => RequestState::Lost,
     }
 }
--- a/crates/daemon/src/dispatch/peering.rs
+++ b/crates/daemon/src/dispatch/peering.rs
@@ -36,7 +36,7 @@
     Sign as Leaving,
     Tag, //
 };
-use sassafrascrank_route::Sign;
+use sassafrascrank_route::DrainSource;
 
 /// Rest of the lease below which the peers are asked to confirm the view, since the log has not for 2 s.
 const ASK_BELOW: Duration = Duration::from_secs(3);
@@ -108,13 +108,13 @@
             self.notify(Notice::Answer(entry.clone(), answer));
         }
         if let Some(answer) = &heard.answer {
-            self.keyed.lease.hear(answer);
+            self.keyed.lease.record_answer(answer);
         }
         if let Some(witness) = &heard.witness {
-            self.keyed.lease.witnessed(now, witness);
+            self.keyed.lease.accept_join_ack(now, witness);
         }
         if heard.joining
-            && let Some(witness) = self.keyed.lease.testify(&entry)
+            && let Some(witness) = self.keyed.lease.acknowledge_join(&entry)
         {
             self.notify(Notice::Testimony(witness));
         }
@@ -139,7 +139,7 @@
         let joining = matches!(self.keyed.lease.state(), State::Joining(_));
         self.notify(Notice::Demand { demands, joining });
         if self.keyed.lease.horizon() < now + ASK_BELOW {
-            let requests = self.keyed.lease.ask(now);
+            let requests = self.keyed.lease.request_confirmations(now);
             self.notify(Notice::Requests(requests));
         }
     }
@@ -262,7 +262,7 @@
             upstream.host == sign.host && upstream.incarnation == sign.incarnation
         });
         if let Some(key) = found.map(|upstream| upstream.key) {
-            self.drain_upstream(now, key, Sign::Peer);
+            self.drain_upstream(now, key, DrainSource::Peer);
         }
     }
 
--- a/crates/daemon/src/dispatch/status.rs
+++ b/crates/daemon/src/dispatch/status.rs
@@ -5,7 +5,7 @@
     Snapshot, //
 };
 use sassafrascrank_observe::status::update;
-use sassafrascrank_route::State;
+use sassafrascrank_route::HealthState;
 
 /// Joins the engine's figures with the names of the snapshot in force.
 pub(super) fn status(engine: &Engine, snapshot: &Snapshot) -> update::Engine {
@@ -45,7 +45,7 @@
             zone: entry.zone.clone(),
             state: match (status.drain, status.state) {
                 (Some(_), _) => update::State::Draining,
-                (None, State::Ejected(_)) => update::State::Ejected,
+                (None, HealthState::Ejected(_)) => update::State::Ejected,
                 (None, _) => update::State::Active,
             },
             slots: status.quota.into(),
--- a/crates/daemon/src/peer/port.rs
+++ b/crates/daemon/src/peer/port.rs
@@ -6,8 +6,8 @@
 use sassafrascrank_claim::{
     lease::{
         Answer,
-        Request,
-        Witness, //
+        JoinAck,
+        Request, //
     },
     member::{
         Entry,
@@ -50,7 +50,7 @@
     /// Whether it asks for a testimony of its join.
     pub joining: bool,
     /// Its testimony of this entry's join.
-    pub witness: Option<Witness>,
+    pub witness: Option<JoinAck>,
 }
 
 /// Configuration and membership that this process holds.
@@ -79,7 +79,7 @@
     /// Answer to a peer's request.
     Answer(Entry, Answer),
     /// Testimony for a peer.
-    Testimony(Witness),
+    Testimony(JoinAck),
     /// A member could not be retired now.
     Postpone(Entry),
     /// An upstream is leaving.
--- a/crates/dispatch/benches/decision.rs
+++ b/crates/dispatch/benches/decision.rs
@@ -14,7 +14,7 @@
     Snapshot,
     engine::Limit, //
 };
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use slotmap::SlotMap;
 
 fn main() {
@@ -94,7 +94,7 @@
         decisions.clear();
         bench.engine.poll(bench.now, &mut decisions);
         assert_eq!(decisions.len(), 1);
-        let report = Report::Answered(Duration::from_micros(10));
+        let report = AttemptResult::Answered(Duration::from_micros(10));
         bench.engine.finish(bench.now, caller, report);
         callers.remove(caller.key);
     });
--- a/crates/dispatch/src/engine/attempt.rs
+++ b/crates/dispatch/src/engine/attempt.rs
@@ -7,7 +7,7 @@
 };
 use core::cmp::Reverse;
 use sassafrascrank_base::prelude::*;
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 
 /// Multiplier and increment of the generator of jitter, from Knuth's MMIX.
 const RANDOM_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
@@ -23,12 +23,16 @@
 }
 
 impl Failure {
-    fn new(report: Report) -> Option<Self> {
+    fn new(report: AttemptResult) -> Option<Self> {
         match report {
-            Report::Answered(_) | Report::Failed(_) | Report::Cancelled => None,
-            Report::Unreachable | Report::Stale => Some(Self::Unsent(Reason::ConnectFailed)),
-            Report::Lost => Some(Self::Sent(Reason::ConnectionLost)),
-            Report::TimedOut => Some(Self::Sent(Reason::AttemptTimeout)),
+            AttemptResult::Answered(_) | AttemptResult::Failed(_) | AttemptResult::Cancelled => {
+                None
+            }
+            AttemptResult::Unreachable | AttemptResult::Stale => {
+                Some(Self::Unsent(Reason::ConnectFailed))
+            }
+            AttemptResult::Lost => Some(Self::Sent(Reason::ConnectionLost)),
+            AttemptResult::TimedOut => Some(Self::Sent(Reason::AttemptTimeout)),
         }
     }
 }
@@ -39,7 +43,7 @@
         now: Time,
         key: ticket::Key,
         upstream: upstream::Key,
-        report: Report,
+        report: AttemptResult,
     ) {
         let Some(failure) = Failure::new(report) else {
             self.forget(now, key);
@@ -63,7 +67,7 @@
         let retryable = ticket.arrival.idempotent || matches!(failure, Failure::Unsent(_));
         let failed = ticket.failed;
         // An idle connection that was closed says nothing about the upstream, so the first retry need not wait.
-        let immediate = report == Report::Stale && failed == 1;
+        let immediate = report == AttemptResult::Stale && failed == 1;
         let allowed = retryable && self.allow_retry(now, key, immediate);
         let at = match allowed {
             true if immediate => now,
--- a/crates/dispatch/src/engine/backlog.rs
+++ b/crates/dispatch/src/engine/backlog.rs
@@ -5,7 +5,7 @@
     prelude::*, //
 };
 use sassafrascrank_queue::Class;
-use sassafrascrank_route::partition::MILLI;
+use sassafrascrank_route::partition::MILLISLOTS_PER_SLOT;
 
 /// Slots by which shares of a pool are counted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -63,8 +63,8 @@
     /// flood of one class takes no slots from another class of the same customer at another entry.
     pub(super) fn cover(&self, size: Size) -> Cover {
         let slots = if self.spill { size.all } else { size.home };
-        let limit = u64::from(slots) * u64::from(self.percent) * MILLI / 100;
-        let demand = |pending: &u32| u64::from(*pending) * MILLI;
+        let limit = u64::from(slots) * u64::from(self.percent) * MILLISLOTS_PER_SLOT / 100;
+        let demand = |pending: &u32| u64::from(*pending) * MILLISLOTS_PER_SLOT;
         let whole: u64 = self.pending.iter().map(demand).sum();
         if whole <= limit {
             let room = if whole > 0 { limit - whole } else { 0 };
--- a/crates/dispatch/src/engine/configure.rs
+++ b/crates/dispatch/src/engine/configure.rs
@@ -16,8 +16,8 @@
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Sign,
-    Site, //
+    Attributes,
+    DrainSource, //
 };
 use std::collections::BTreeSet;
 
@@ -32,7 +32,12 @@
     }
 
     /// Stops new work for an upstream that is leaving; tells whether this is the first sign.
-    pub fn drain_upstream(&mut self, now: Time, upstream: upstream::Key, sign: Sign) -> bool {
+    pub fn drain_upstream(
+        &mut self,
+        now: Time,
+        upstream: upstream::Key,
+        sign: DrainSource,
+    ) -> bool {
         let pool = self.upstreams.get(upstream);
         let pool = pool.and_then(|upstream| self.pools.get_mut(upstream.pool));
         pool.is_some_and(|pool| pool.router.drain(now, upstream, sign))
@@ -186,16 +191,16 @@
             let Some(pool) = self.pools.get_mut(entry.pool) else {
                 continue;
             };
-            let site = Site {
+            let attributes = Attributes {
                 availability_zone: entry.availability_zone,
                 slots: pool.upstream_slots,
             };
             pool.members.push(entry.key);
-            pool.router.insert(now, entry.key, site);
+            pool.router.insert(now, entry.key, attributes);
             if entry.leaving {
-                pool.router.drain(now, entry.key, Sign::List);
+                pool.router.drain(now, entry.key, DrainSource::List);
             }
-            self.keep_upstream(entry, site);
+            self.keep_upstream(entry, attributes);
         }
     }
 }
--- a/crates/dispatch/src/engine/engine.rs
+++ b/crates/dispatch/src/engine/engine.rs
@@ -27,7 +27,7 @@
     Request, //
 };
 use sassafrascrank_route::{
-    Report,
+    AttemptResult,
     Status, //
 };
 use slotmap::{
@@ -141,7 +141,7 @@
     ///
     /// An answer ends the request. Otherwise the request is retried where that can't run it twice, or a refusal
     /// comes out of [`Engine::poll`].
-    pub fn finish(&mut self, now: Time, caller: caller::Handle, report: Report) {
+    pub fn finish(&mut self, now: Time, caller: caller::Handle, report: AttemptResult) {
         let Some(key) = self.lookup(caller) else {
             return;
         };
@@ -180,7 +180,7 @@
                 since,
             } => {
                 let pool = ticket.arrival.pool;
-                self.release(now, pool, upstream, &grant, since, Report::Cancelled);
+                self.release(now, pool, upstream, &grant, since, AttemptResult::Cancelled);
             }
             Stage::Backoff => {}
         }
@@ -268,7 +268,7 @@
         upstream: upstream::Key,
         grant: &Grant,
         since: Time,
-        report: Report,
+        report: AttemptResult,
     ) {
         let actual = now.since(since);
         if let Some(pool) = self.pools.get_mut(pool_key) {
@@ -281,7 +281,7 @@
         };
         let limited = customer.running >= customer.concurrency;
         customer.running = customer.running.saturating_sub(1);
-        if let Report::Answered(_) = report {
+        if let AttemptResult::Answered(_) = report {
             customer.learn(pool_key, grant.class, actual);
         }
         if limited {
--- a/crates/dispatch/src/engine/grant.rs
+++ b/crates/dispatch/src/engine/grant.rs
@@ -13,7 +13,7 @@
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_queue::Grant;
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use slotmap::{
     SecondaryMap,
     SlotMap, //
@@ -64,11 +64,13 @@
             return false;
         };
         let Some(grant) = self.pop(pool, spill) else {
-            pool.router.release(self.now, upstream, Report::Cancelled);
+            pool.router
+                .release(self.now, upstream, AttemptResult::Cancelled);
             return false;
         };
         if !self.forward(pool, spill, grant, upstream) {
-            pool.router.release(self.now, upstream, Report::Cancelled);
+            pool.router
+                .release(self.now, upstream, AttemptResult::Cancelled);
             pool.queue.finish(self.now, &grant, Duration::ZERO);
         }
         true
@@ -133,6 +135,6 @@
     let Some(other) = pool.router.choose(now, home, spill, ticket.avoid) else {
         return chosen;
     };
-    pool.router.release(now, chosen, Report::Cancelled);
+    pool.router.release(now, chosen, AttemptResult::Cancelled);
     other
 }
--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -9,10 +9,10 @@
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Site,
+    Attributes,
     partition::{
         self,
-        Part,
+        Quota,
         SILENCE_LIMIT, //
     },
 };
@@ -23,8 +23,8 @@
     pub(super) id: u64,
     pub(super) pool: pool::Key,
     pub(super) address: SocketAddr,
-    site: Site,
-    part: Part,
+    attributes: Attributes,
+    part: Quota,
     /// Whether the part has had its first value.
     started: bool,
     /// Latest division; the part follows it with a delay.
@@ -117,14 +117,14 @@
             let wants = others.map(|peer| find(&peer.demands, key).map_or(0, |it| it.slots));
             // The division gives each entry one slot at least.
             let (count, wanted) = wants.fold((0, 0), |(count, sum), want| {
-                (count + 1, sum + want.max(partition::MILLI))
+                (count + 1, sum + want.max(partition::MILLISLOTS_PER_SLOT))
             });
             let slots = pool.report(now, wanted, count);
             if slots > 0 {
                 demands.push(Demand {
                     pool: key,
                     slots,
-                    spill: slots.min(u64::from(pool.spillable) * partition::MILLI),
+                    spill: slots.min(u64::from(pool.spillable) * partition::MILLISLOTS_PER_SLOT),
                 });
             }
         }
@@ -168,18 +168,18 @@
         pool.change_backlog(now, customer, |backlog| backlog.count(class, change));
     }
 
-    pub(super) fn keep_upstream(&mut self, entry: &catalog::Upstream, site: Site) {
+    pub(super) fn keep_upstream(&mut self, entry: &catalog::Upstream, attributes: Attributes) {
         if let Some(known) = self.upstreams.get_mut(entry.key) {
             known.address = entry.address;
-            known.site = site;
+            known.attributes = attributes;
             return;
         }
         let upstream = Upstream {
             id: entry.id,
             pool: entry.pool,
             address: entry.address,
-            site,
-            part: Part::new(0),
+            attributes,
+            part: Quota::new(0),
             started: false,
             target: 0,
             applied: false,
@@ -210,15 +210,15 @@
         let known = known.filter_map(|&key| Some((key, self.upstreams.get(key)?.share())));
         let (keys, upstreams): (Vec<_>, Vec<_>) = known.unzip();
         let size = size(self.home, &upstreams);
-        let targets = partition::divide(now, self.me, &entries, &upstreams);
-        let firsts = partition::start(self.me, self.home, &upstreams);
+        let targets = partition::target_quotas(now, self.me, &entries, &upstreams);
+        let firsts = partition::initial_quotas(self.me, self.home, &upstreams);
         for (index, key) in keys.into_iter().enumerate() {
             let Some(upstream) = self.upstreams.get_mut(key) else {
                 continue;
             };
             if !upstream.started {
                 upstream.started = true;
-                upstream.part = Part::new(firsts[index].min(targets[index]));
+                upstream.part = Quota::new(firsts[index].min(targets[index]));
             }
             upstream.target = targets[index];
         }
@@ -231,7 +231,7 @@
     pub fn follow_targets(&mut self, now: Time) {
         for (key, upstream) in &mut self.upstreams {
             let before = upstream.part.slots();
-            let slots = upstream.part.follow(now, upstream.target);
+            let slots = upstream.part.set_target(now, upstream.target);
             if slots == before && upstream.applied {
                 continue;
             }
@@ -271,8 +271,8 @@
     fn share(&self) -> partition::Upstream {
         partition::Upstream {
             id: self.id,
-            availability_zone: self.site.availability_zone,
-            slots: self.site.slots,
+            availability_zone: self.attributes.availability_zone,
+            slots: self.attributes.slots,
         }
     }
 }
--- a/crates/dispatch/src/engine/pool.rs
+++ b/crates/dispatch/src/engine/pool.rs
@@ -11,7 +11,7 @@
     Router,
     partition::{
         Demand,
-        MILLI, //
+        MILLISLOTS_PER_SLOT, //
     },
 };
 use slotmap::SecondaryMap;
@@ -126,9 +126,9 @@
     /// given up at once when others want more.
     pub(super) fn report(&mut self, now: Time, others: u64, count: u64) -> u64 {
         let own = self.demand.report(now);
-        let there = u64::from(self.size.home) * MILLI;
+        let there = u64::from(self.size.home) * MILLISLOTS_PER_SLOT;
         let claimed = others + own + self.extra;
-        let pending = u64::from(self.pending) * MILLI;
+        let pending = u64::from(self.pending) * MILLISLOTS_PER_SLOT;
         let moved = match claimed > there {
             true => self.extra.saturating_sub(claimed - there),
             false => self.extra + (there - claimed) / (count + 1),
@@ -139,9 +139,9 @@
 
     fn record(&mut self, now: Time) {
         // Arrivals vary by the square root of their mean within a service time, and a part follows after two reports.
-        let spread = (self.cover.used * MILLI).isqrt();
+        let spread = (self.cover.used * MILLISLOTS_PER_SLOT).isqrt();
         let slots = self.cover.used + spread.min(self.cover.room);
-        let slots = u32::try_from(slots.div_ceil(MILLI));
+        let slots = u32::try_from(slots.div_ceil(MILLISLOTS_PER_SLOT));
         self.demand.record(now, slots.unwrap_or(u32::MAX));
     }
 }
--- a/crates/dispatch/tests/common/check.rs
+++ b/crates/dispatch/tests/common/check.rs
@@ -8,8 +8,8 @@
     engine::Load, //
 };
 use sassafrascrank_route::{
-    Report,
-    Sign,
+    AttemptResult,
+    DrainSource,
     Status, //
 };
 use std::collections::{
@@ -26,7 +26,7 @@
     running: Option<upstream::Key>,
     attempts: u32,
     may_have_run: bool,
-    last: Option<Report>,
+    last: Option<AttemptResult>,
 }
 
 #[derive(Default)]
@@ -122,7 +122,7 @@
         let arrival = request.arrival;
         let again = request.running.is_some() || (request.may_have_run && !arrival.idempotent);
         let counted = retry == request.attempts;
-        let free = retry == 1 && request.last == Some(Report::Stale);
+        let free = retry == 1 && request.last == Some(AttemptResult::Stale);
         request.running = Some(upstream);
         request.attempts += 1;
         self.hold("at-most-once", !again, caller);
@@ -170,23 +170,32 @@
     }
 
     /// Notes the end of an attempt; tells whether its request is still there.
-    pub(crate) fn finished(&mut self, _now: Time, caller: caller::Handle, report: Report) -> bool {
+    pub(crate) fn finished(
+        &mut self,
+        _now: Time,
+        caller: caller::Handle,
+        report: AttemptResult,
+    ) -> bool {
         let Some(request) = self.open.get_mut(&caller) else {
             return false;
         };
         request.running = None;
         request.last = Some(report);
-        request.may_have_run |= !matches!(report, Report::Stale | Report::Unreachable);
+        request.may_have_run |=
+            !matches!(report, AttemptResult::Stale | AttemptResult::Unreachable);
         let name = match report {
-            Report::Answered(_) => "attempt answered",
-            Report::Failed(_) => "attempt failed",
-            Report::Unreachable => "attempt unreachable",
-            Report::Stale => "attempt stale",
-            Report::Lost => "attempt lost",
-            Report::TimedOut => "attempt timed out",
-            Report::Cancelled => "attempt cancelled",
+            AttemptResult::Answered(_) => "attempt answered",
+            AttemptResult::Failed(_) => "attempt failed",
+            AttemptResult::Unreachable => "attempt unreachable",
+            AttemptResult::Stale => "attempt stale",
+            AttemptResult::Lost => "attempt lost",
+            AttemptResult::TimedOut => "attempt timed out",
+            AttemptResult::Cancelled => "attempt cancelled",
         };
-        if matches!(report, Report::Answered(_) | Report::Failed(_)) {
+        if matches!(
+            report,
+            AttemptResult::Answered(_) | AttemptResult::Failed(_)
+        ) {
             self.open.remove(&caller);
         }
         self.count(name);
@@ -211,7 +220,7 @@
         Some(caller)
     }
 
-    pub(crate) fn drained(&mut self, upstream: upstream::Key, sign: Sign, first: bool) {
+    pub(crate) fn drained(&mut self, upstream: upstream::Key, sign: DrainSource, first: bool) {
         self.drained.insert(upstream);
         if first {
             self.count(&format!("drain sign: {sign:?}"));
--- a/crates/dispatch/tests/common/pair.rs
+++ b/crates/dispatch/tests/common/pair.rs
@@ -22,7 +22,7 @@
         Peer, //
     },
 };
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use slotmap::SlotMap;
 use std::collections::{
     BTreeMap,
@@ -334,14 +334,14 @@
             self.ends.pop();
             if service.is_zero() {
                 let caller = caller::Handle { thread: 0, key };
-                self.engines[entry].finish(self.now, caller, Report::Lost);
+                self.engines[entry].finish(self.now, caller, AttemptResult::Lost);
                 continue;
             }
             let request = self.requests.remove(&key).unwrap();
             let tally = self.tally(request.flow, request.arrived);
             tally.answered += u64::from(at <= request.deadline);
             let caller = caller::Handle { thread: 0, key };
-            self.engines[entry].finish(self.now, caller, Report::Answered(service));
+            self.engines[entry].finish(self.now, caller, AttemptResult::Answered(service));
         }
     }
 
--- a/crates/dispatch/tests/common/world.rs
+++ b/crates/dispatch/tests/common/world.rs
@@ -23,8 +23,8 @@
     },
 };
 use sassafrascrank_route::{
-    Report,
-    Sign, //
+    AttemptResult,
+    DrainSource, //
 };
 use slotmap::SlotMap;
 
@@ -56,7 +56,7 @@
     hosts: Vec<Host>,
     callers: SlotMap<caller::Key, ()>,
     /// Ends of attempts to come.
-    ends: Vec<(Time, caller::Handle, Report)>,
+    ends: Vec<(Time, caller::Handle, AttemptResult)>,
     peer_heard: Option<Time>,
     peer_zone: availability_zone::Key,
     ticks: u32,
@@ -204,19 +204,21 @@
         let service = Duration::from_millis(self.random.random_range(1..60));
         let early = Duration::from_millis(self.random.random_range(0..3));
         let report = match self.chance(self.profile.fault) {
-            false => Report::Answered(service),
+            false => AttemptResult::Answered(service),
             true => match self.random.random_range(0..6) {
-                0 => Report::Unreachable,
-                1 => Report::Stale,
-                2 => Report::Lost,
-                3 => Report::Failed(early),
-                _ => Report::TimedOut,
+                0 => AttemptResult::Unreachable,
+                1 => AttemptResult::Stale,
+                2 => AttemptResult::Lost,
+                3 => AttemptResult::Failed(early),
+                _ => AttemptResult::TimedOut,
             },
         };
         let (at, report) = match report {
-            Report::Answered(span) if self.now + span > until => (until, Report::TimedOut),
-            Report::Answered(span) => (self.now + span, report),
-            Report::TimedOut => (until, report),
+            AttemptResult::Answered(span) if self.now + span > until => {
+                (until, AttemptResult::TimedOut)
+            }
+            AttemptResult::Answered(span) => (self.now + span, report),
+            AttemptResult::TimedOut => (until, report),
             _ => ((self.now + early).min(until), report),
         };
         self.ends.push((at, caller, report));
@@ -254,7 +256,11 @@
     }
 
     fn sign(&mut self) {
-        let signs = [Sign::Response, Sign::Connection, Sign::Peer];
+        let signs = [
+            DrainSource::Response,
+            DrainSource::Connection,
+            DrainSource::Peer,
+        ];
         let sign = signs[self.random.random_range(0..3)];
         let count = self.snapshot.upstreams.len();
         if count > 0 {
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -16,7 +16,7 @@
     Snapshot,
     engine::Limit, //
 };
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use slotmap::SlotMap;
 
 /// One engine with the names of its configuration.
@@ -115,7 +115,7 @@
     assert_eq!(bench.poll(), [first]);
     let second = bench.arrive(0, "brisa").unwrap();
     assert_eq!(bench.poll(), []);
-    let report = Report::Answered(Duration::from_millis(5));
+    let report = AttemptResult::Answered(Duration::from_millis(5));
     bench.engine.finish(bench.now, first, report);
     assert_eq!(bench.poll(), [second]);
 }
@@ -128,7 +128,7 @@
     for _ in 0..5 {
         let caller = bench.arrive(0, "alba").unwrap();
         assert_eq!(bench.poll(), [caller]);
-        bench.engine.finish(bench.now, caller, Report::Lost);
+        bench.engine.finish(bench.now, caller, AttemptResult::Lost);
         bench.poll();
     }
     let refusal = bench.arrive(0, "alba").unwrap_err();
@@ -156,7 +156,7 @@
     assert_eq!(bench.poll(), running);
     let queued = bench.arrive(0, "alba").unwrap();
     for caller in running {
-        bench.engine.finish(bench.now, caller, Report::Lost);
+        bench.engine.finish(bench.now, caller, AttemptResult::Lost);
     }
     assert_eq!(bench.poll(), []);
     bench.now = bench.engine.next_wakeup().unwrap();
@@ -186,7 +186,7 @@
             }
         }
         bench.wait(Duration::from_millis(100));
-        let report = Report::Answered(Duration::from_millis(100));
+        let report = AttemptResult::Answered(Duration::from_millis(100));
         for caller in core::mem::take(&mut running) {
             bench.engine.finish(bench.now, caller, report);
         }
@@ -213,7 +213,9 @@
     let mut bench = Bench::new(&[("casa", contract)], &[("h0", "alba", "near")], 4);
     let caller = bench.arrive(0, "alba").unwrap();
     assert_eq!(bench.poll(), [caller]);
-    bench.engine.finish(bench.now, caller, Report::Unreachable);
+    bench
+        .engine
+        .finish(bench.now, caller, AttemptResult::Unreachable);
     let mut decisions = Vec::new();
     bench.engine.poll(bench.now, &mut decisions);
     let refused = decisions.iter().any(|decision| match decision {
--- a/crates/exchange/src/message/message.rs
+++ b/crates/exchange/src/message/message.rs
@@ -11,8 +11,8 @@
 };
 use sassafrascrank_observe::event::request;
 use sassafrascrank_route::{
-    Report,
-    Sign, //
+    AttemptResult,
+    DrainSource, //
 };
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
         /// Whose attempt.
         caller: caller::Handle,
         /// How it ended.
-        report: Report,
+        report: AttemptResult,
         /// The answer, for a request that may run only once.
         answer: Option<Arc<Answer>>,
     },
@@ -47,7 +47,7 @@
         /// The upstream.
         upstream: upstream::Key,
         /// How that became known.
-        sign: Sign,
+        sign: DrainSource,
     },
 }
 
--- a/crates/exchange/src/server/job.rs
+++ b/crates/exchange/src/server/job.rs
@@ -53,8 +53,8 @@
 };
 use sassafrascrank_observe::event::request;
 use sassafrascrank_route::{
-    Report,
-    Sign, //
+    AttemptResult,
+    DrainSource, //
 };
 use std::{
     collections::VecDeque,
@@ -161,7 +161,7 @@
         let started = (self.context.clock)();
         let deadline = Instant::now() + until.since(started);
         let Some(request) = self.outgoing.request(Some(&self.head.account), deadline) else {
-            self.finish(Report::Lost, None);
+            self.finish(AttemptResult::Lost, None);
             return None;
         };
         let fresh = !self.head.idempotent;
@@ -173,11 +173,11 @@
                 self.finish(report, None);
                 return None;
             }
-            Ok(Err(Failure::Sent)) => return self.fail(Report::Lost),
-            Err(_) => return self.fail(Report::TimedOut),
+            Ok(Err(Failure::Sent)) => return self.fail(AttemptResult::Lost),
+            Err(_) => return self.fail(AttemptResult::TimedOut),
         };
         if response.headers().contains_key(header::DRAINING) {
-            let (upstream, sign) = (target.upstream, Sign::Response);
+            let (upstream, sign) = (target.upstream, DrainSource::Response);
             self.context
                 .outbox
                 .send(Message::Draining { upstream, sign });
@@ -198,12 +198,12 @@
     }
 
     /// Ends an attempt that may have run; the dispatch thread decides what comes next, unless the caller is to blame.
-    fn fail(&mut self, report: Report) -> Option<Response<Answered>> {
+    fn fail(&mut self, report: AttemptResult) -> Option<Response<Answered>> {
         if !self.outgoing.is_blamed(report) {
             self.finish(report, None);
             return None;
         }
-        self.finish(Report::Cancelled, None);
+        self.finish(AttemptResult::Cancelled, None);
         self.admitted = false;
         let refusal = Refusal::unknown(Reason::Malformed);
         let detail = "the body did not arrive before the attempt ended: send it faster".to_owned();
@@ -222,8 +222,8 @@
         let mut size = 0;
         let whole = loop {
             match timeout_at(deadline, body.frame()).await {
-                Err(_) => return self.answer_lost(ending, Report::TimedOut),
-                Ok(Some(Err(_))) => return self.answer_lost(ending, Report::Lost),
+                Err(_) => return self.answer_lost(ending, AttemptResult::TimedOut),
+                Ok(Some(Err(_))) => return self.answer_lost(ending, AttemptResult::Lost),
                 Ok(None) => break true,
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
@@ -258,7 +258,11 @@
     }
 
     /// Gives the waiter back and lets the dispatch thread decide after an answer broke off.
-    fn answer_lost(&mut self, mut ending: Ending, report: Report) -> Option<Response<Answered>> {
+    fn answer_lost(
+        &mut self,
+        mut ending: Ending,
+        report: AttemptResult,
+    ) -> Option<Response<Answered>> {
         // The report needs the waiter, which names the caller.
         ending.report(report);
         self.waiter = ending.waiter.take();
@@ -312,7 +316,7 @@
         })
     }
 
-    fn finish(&self, report: Report, answer: Option<Arc<Answer>>) {
+    fn finish(&self, report: AttemptResult, answer: Option<Arc<Answer>>) {
         if let Some(waiter) = &self.waiter {
             let caller = waiter.handle;
             self.context.outbox.send(Message::Finish {
--- a/crates/exchange/src/server/relay.rs
+++ b/crates/exchange/src/server/relay.rs
@@ -29,7 +29,7 @@
     SizeHint, //
 };
 use sassafrascrank_base::prelude::*;
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use std::{
     cell::RefCell,
     collections::VecDeque,
@@ -90,7 +90,7 @@
 
 impl Ending {
     /// Reports the end of the attempt once; later calls do nothing.
-    pub(super) fn report(&mut self, report: Report) {
+    pub(super) fn report(&mut self, report: AttemptResult) {
         if core::mem::replace(&mut self.reported, true) {
             return;
         }
@@ -117,8 +117,8 @@
             self.connections.put_back(connection);
         }
         let report = match self.failed {
-            true => Report::Failed(self.latency),
-            false => Report::Answered(self.latency),
+            true => AttemptResult::Failed(self.latency),
+            false => AttemptResult::Answered(self.latency),
         };
         self.report(report);
     }
@@ -126,7 +126,7 @@
 
 impl Ending {
     /// Ends an attempt whose answer the caller has got a part of, so that no other attempt can follow.
-    fn give_up(&mut self, report: Report) {
+    fn give_up(&mut self, report: AttemptResult) {
         // Closes the connection, whatever is still on its way there.
         self.connection = None;
         if self.reported {
@@ -147,15 +147,15 @@
         }
         self.expired = true;
         self.give_up(match self.starved {
-            true => Report::TimedOut,
-            false => Report::Cancelled,
+            true => AttemptResult::TimedOut,
+            false => AttemptResult::Cancelled,
         });
     }
 }
 
 impl Drop for Ending {
     fn drop(&mut self) {
-        self.report(Report::Cancelled);
+        self.report(AttemptResult::Cancelled);
     }
 }
 
@@ -206,7 +206,7 @@
                 Some(Ok(frame))
             }
             Some(Err(_)) => {
-                self.ending.borrow_mut().give_up(Report::Lost);
+                self.ending.borrow_mut().give_up(AttemptResult::Lost);
                 Some(Err(Error::Lost))
             }
             None => {
--- a/crates/exchange/src/server/request.rs
+++ b/crates/exchange/src/server/request.rs
@@ -44,7 +44,7 @@
     http::request::Parts, //
 };
 use sassafrascrank_base::prelude::*;
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use sha2::{
     Digest,
     Sha256, //
@@ -203,10 +203,10 @@
     }
 
     /// Tells whether the caller is to blame for an attempt that ended with `report`.
-    pub(super) fn is_blamed(&self, report: Report) -> bool {
+    pub(super) fn is_blamed(&self, report: AttemptResult) -> bool {
         match self.flow.get() {
             Flow::Ready => false,
-            Flow::Starved => report == Report::TimedOut,
+            Flow::Starved => report == AttemptResult::TimedOut,
             Flow::Broken => true,
         }
     }
--- a/crates/exchange/src/upstream/attempt.rs
+++ b/crates/exchange/src/upstream/attempt.rs
@@ -11,13 +11,13 @@
     Response,
     body::Incoming, //
 };
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 
 /// An attempt that brought no answer.
 #[derive(Debug)]
 pub enum Failure {
     /// Nothing was sent; the request is given back.
-    Unsent(Report, Box<Request<Body>>),
+    Unsent(AttemptResult, Box<Request<Body>>),
     /// The request may have reached the upstream.
     Sent,
 }
@@ -44,14 +44,21 @@
         Some(connection) => connection,
         None => match connections.connect(address).await {
             Ok(connection) => connection,
-            Err(_) => return Err(Failure::Unsent(Report::Unreachable, Box::new(request))),
+            Err(_) => {
+                return Err(Failure::Unsent(
+                    AttemptResult::Unreachable,
+                    Box::new(request),
+                ));
+            }
         },
     };
     match connection.sender.try_send_request(request).await {
         Ok(response) => Ok((response, connection)),
         Err(mut error) => Err(match error.take_message() {
-            Some(request) if connection.reused => Failure::Unsent(Report::Stale, Box::new(request)),
-            Some(request) => Failure::Unsent(Report::Unreachable, Box::new(request)),
+            Some(request) if connection.reused => {
+                Failure::Unsent(AttemptResult::Stale, Box::new(request))
+            }
+            Some(request) => Failure::Unsent(AttemptResult::Unreachable, Box::new(request)),
             None => Failure::Sent,
         }),
     }
--- a/crates/peer/src/message/report.rs
+++ b/crates/peer/src/message/report.rs
@@ -9,7 +9,7 @@
 use sassafrascrank_claim::{
     lease::{
         self,
-        Witness, //
+        JoinAck, //
     },
     member::Entry, //
 };
@@ -67,5 +67,5 @@
     /// Whether the sender asks the receiver to testify that it has read the sender's join.
     pub joining: bool,
     /// Testimony of the sender.
-    pub witness: Option<Witness>,
+    pub witness: Option<JoinAck>,
 }
--- a/crates/peer/src/roster/peer.rs
+++ b/crates/peer/src/roster/peer.rs
@@ -16,7 +16,7 @@
 use sassafrascrank_claim::{
     lease::{
         self,
-        Witness, //
+        JoinAck, //
     },
     member::Entry, //
 };
@@ -54,7 +54,7 @@
     /// What travels with the next report.
     pub(super) request: Option<lease::Request>,
     pub(super) answer: Option<lease::Answer>,
-    pub(super) witness: Option<Witness>,
+    pub(super) witness: Option<JoinAck>,
 }
 
 impl Peer {
--- a/crates/peer/src/roster/roster.rs
+++ b/crates/peer/src/roster/roster.rs
@@ -33,7 +33,7 @@
 use sassafrascrank_claim::{
     lease::{
         self,
-        Witness, //
+        JoinAck, //
     },
     member::{
         Entry,
@@ -199,7 +199,7 @@
     }
 
     /// Sends a testimony with the next report to the entry that joined.
-    pub fn testify(&mut self, witness: Witness) {
+    pub fn testify(&mut self, witness: JoinAck) {
         if let Some(key) = self.find(&witness.to) {
             self.peers[key].witness = Some(witness);
         }
--- a/crates/peer/src/wire/handover.rs
+++ b/crates/peer/src/wire/handover.rs
@@ -20,8 +20,8 @@
     member::Entry,
     table::{
         self,
-        Fate,
-        Fingerprint, //
+        Fingerprint,
+        RequestState, //
     },
 };
 
@@ -90,12 +90,12 @@
         Self {
             k: bytes(item.id.bits()),
             p: bytes(item.fingerprint.0),
-            a: match &item.fate {
-                Fate::Answered(answer) => Some(answer.into()),
+            a: match &item.state {
+                RequestState::Answered(answer) => Some(answer.into()),
                 // The ticket of a running attempt means nothing to the receiver.
-                Fate::Running(_) | Fate::Dropped | Fate::Lost => None,
+                RequestState::Running(_) | RequestState::Dropped | RequestState::Lost => None,
             },
-            d: item.fate == Fate::Dropped,
+            d: item.state == RequestState::Dropped,
         }
     }
 }
@@ -134,10 +134,10 @@
     type Error = Error;
 
     fn try_from(wire: Item) -> Result<Self, Error> {
-        let fate = match (wire.a, wire.d) {
-            (Some(answer), false) => Fate::Answered(answer.try_into()?),
-            (None, true) => Fate::Dropped,
-            (None, false) => Fate::Lost,
+        let state = match (wire.a, wire.d) {
+            (Some(answer), false) => RequestState::Answered(answer.try_into()?),
+            (None, true) => RequestState::Dropped,
+            (None, false) => RequestState::Lost,
             (Some(_), true) => {
                 let remedy = "send an answer or say that it was dropped, not both";
                 return Err(Error::new("items.d", true, remedy));
@@ -146,7 +146,7 @@
         Ok(Self {
             id: Id::from_bits(check_bits("items.k", &wire.k)?),
             fingerprint: Fingerprint(check_bits("items.p", &wire.p)?),
-            fate,
+            state,
         })
     }
 }
--- a/crates/peer/src/wire/report.rs
+++ b/crates/peer/src/wire/report.rs
@@ -209,8 +209,8 @@
 }
 
 impl Witness {
-    fn check(self, from: &Entry) -> Result<lease::Witness, Error> {
-        Ok(lease::Witness {
+    fn check(self, from: &Entry) -> Result<lease::JoinAck, Error> {
+        Ok(lease::JoinAck {
             from: from.clone(),
             to: check_entry("w.e", &self.e)?,
             fence: Time::from_micros(self.f),
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -15,9 +15,9 @@
         View, //
     },
     table::{
-        Fate,
         Fingerprint,
-        Item, //
+        Item,
+        RequestState, //
     },
 };
 use sassafrascrank_contract::model::{
@@ -101,7 +101,7 @@
             agrees: false,
         }),
         joining: true,
-        witness: Some(lease::Witness {
+        witness: Some(lease::JoinAck {
             from: entry(index),
             to: entry(index + 1),
             fence: Time::from_micros(1_800_000_000_000_789),
@@ -166,7 +166,7 @@
     let items = bodies.iter().enumerate().map(|(index, body)| Item {
         id: Id::from_bits(index as u128 + 1),
         fingerprint: Fingerprint(u128::MAX - index as u128),
-        fate: Fate::Answered(Stored {
+        state: RequestState::Answered(Stored {
             status: 201,
             headers: vec![("content-type".to_owned(), "text/plain".into())],
             body: body.map(|size| vec![0xa5; size].into()),
--- a/crates/peer/tests/wire.rs
+++ b/crates/peer/tests/wire.rs
@@ -9,7 +9,7 @@
 use sassafrascrank_claim::{
     lease,
     member::Entry,
-    table::Fate, //
+    table::RequestState, //
 };
 use sassafrascrank_peer::{
     message::{
@@ -113,7 +113,7 @@
             report.request = Some(lease::Request { from, to, revision: first, start });
         }
         report.sender.entry = from.clone();
-        report.witness = extra.then(|| lease::Witness { from, to, fence: Time::from_micros(fence) });
+        report.witness = extra.then(|| lease::JoinAck { from, to, fence: Time::from_micros(fence) });
         report
     }
 }
@@ -163,10 +163,10 @@
         let mut handover = common::handover(&vec![None; fates.len()]);
         for (item, (kind, bits, body)) in handover.items.iter_mut().zip(fates) {
             item.id = sassafrascrank_claim::key::Id::from_bits(bits);
-            item.fate = match kind {
-                0 => Fate::Lost,
-                1 => Fate::Dropped,
-                _ => Fate::Answered(Stored {
+            item.state = match kind {
+                0 => RequestState::Lost,
+                1 => RequestState::Dropped,
+                _ => RequestState::Answered(Stored {
                     status: 200,
                     headers: vec![("x-a".to_owned(), vec![0xe9, 0x20].into())],
                     body: body.map(Into::into),
@@ -256,7 +256,7 @@
     let mut note = |error: Error| writeln!(lines, "{error}").unwrap();
     let mut send = |stored: Stored| {
         let mut handover = common::handover(&[None]);
-        handover.items[0].fate = Fate::Answered(stored);
+        handover.items[0].state = RequestState::Answered(stored);
         let body = wire::encode(&wire::Handover::from(&handover), HANDOVER_LIMIT).unwrap();
         let wire: wire::Handover = wire::decode(&body, HANDOVER_LIMIT).unwrap();
         note(message::Handover::try_from(wire).unwrap_err());
--- a/crates/route/benches/choose.rs
+++ b/crates/route/benches/choose.rs
@@ -6,9 +6,9 @@
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Report,
-    Router,
-    Site, //
+    AttemptResult,
+    Attributes,
+    Router, //
 };
 use slotmap::SlotMap;
 
@@ -18,7 +18,7 @@
 /// Slots of each upstream that are taken before the measurement, out of 8.
 const LOAD: usize = 4;
 
-const ANSWER: Report = Report::Answered(Duration::from_millis(20));
+const ANSWER: AttemptResult = AttemptResult::Answered(Duration::from_millis(20));
 
 fn main() {
     divan::main();
@@ -33,11 +33,11 @@
     let mut now = Time::from_millis(1_000);
     for _ in 0..size {
         let upstream = keys.insert(());
-        let site = Site {
+        let attributes = Attributes {
             availability_zone: home,
             slots: 8,
         };
-        router.insert(now, upstream, site);
+        router.insert(now, upstream, attributes);
         router.set_quota(upstream, 8);
     }
     for _ in 0..size * LOAD {
--- a/crates/route/benches/divide.rs
+++ b/crates/route/benches/divide.rs
@@ -8,7 +8,7 @@
 use sassafrascrank_route::partition::{
     Entry,
     Upstream,
-    divide, //
+    target_quotas, //
 };
 use slotmap::SlotMap;
 
@@ -40,5 +40,5 @@
             slots: 8,
         })
         .collect();
-    bencher.bench_local(|| divide(black_box(NOW), 3, &entries, &upstreams));
+    bencher.bench_local(|| target_quotas(black_box(NOW), 3, &entries, &upstreams));
 }
--- a/crates/route/src/health/health.rs
+++ b/crates/route/src/health/health.rs
@@ -23,7 +23,7 @@
 
 /// Whether an upstream takes work, as far as its health decides it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum State {
+pub enum HealthState {
     /// It takes work up to its quota.
     Serving,
     /// It takes no work before this time.
@@ -34,7 +34,7 @@
     Recovering(u32),
 }
 
-impl State {
+impl HealthState {
     /// Tells whether the upstream is out of service: ejected, or waiting for a good probe.
     pub(crate) const fn is_out(self) -> bool {
         matches!(self, Self::Ejected(_) | Self::Probing(_))
@@ -44,7 +44,7 @@
 /// Learned health of one upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
-    state: State,
+    state: HealthState,
     level: u32,
     last_until: Time,
     streak: u32,
@@ -55,7 +55,7 @@
     /// Starts in service, without history.
     pub(crate) fn new() -> Self {
         Self {
-            state: State::Serving,
+            state: HealthState::Serving,
             level: 0,
             last_until: Time::MIN,
             streak: 0,
@@ -64,33 +64,33 @@
     }
 
     /// Returns the present state.
-    pub(crate) const fn state(&self) -> State {
+    pub(crate) const fn state(&self) -> HealthState {
         self.state
     }
 
     /// Returns how many requests may run at once.
     pub(crate) const fn allowed(&self) -> u32 {
         match self.state {
-            State::Serving => u32::MAX,
-            State::Ejected(_) => 0,
-            State::Probing(_) => 1,
-            State::Recovering(allowed) => allowed,
+            HealthState::Serving => u32::MAX,
+            HealthState::Ejected(_) => 0,
+            HealthState::Probing(_) => 1,
+            HealthState::Recovering(allowed) => allowed,
         }
     }
 
     /// Notes that an attempt starts; tells whether it is a probe.
     pub(crate) fn start(&mut self) -> bool {
-        let probe = matches!(self.state, State::Probing(_));
+        let probe = matches!(self.state, HealthState::Probing(_));
         if probe {
-            self.state = State::Probing(true);
+            self.state = HealthState::Probing(true);
         }
         probe
     }
 
     /// Learns nothing from an attempt that ended; a probe has to be sent again.
     pub(crate) fn ignore(&mut self) {
-        if self.state == State::Probing(true) {
-            self.state = State::Probing(false);
+        if self.state == HealthState::Probing(true) {
+            self.state = HealthState::Probing(false);
         }
     }
 
@@ -98,16 +98,16 @@
     pub(crate) fn succeed(&mut self, now: Time, quota: u32) -> bool {
         self.streak = 0;
         match self.state {
-            State::Serving => self.window.record(now, false),
+            HealthState::Serving => self.window.record(now, false),
             // An attempt from before the ejection; the probe decides.
-            State::Ejected(_) => {}
-            State::Probing(_) => self.state = State::Recovering(1),
-            State::Recovering(allowed) if allowed + 1 > quota.max(RECOVERY_MIN) => {
+            HealthState::Ejected(_) => {}
+            HealthState::Probing(_) => self.state = HealthState::Recovering(1),
+            HealthState::Recovering(allowed) if allowed + 1 > quota.max(RECOVERY_MIN) => {
                 self.window = Window::default();
-                self.state = State::Serving;
+                self.state = HealthState::Serving;
                 return true;
             }
-            State::Recovering(allowed) => self.state = State::Recovering(allowed + 1),
+            HealthState::Recovering(allowed) => self.state = HealthState::Recovering(allowed + 1),
         }
         false
     }
@@ -116,9 +116,9 @@
     pub(crate) fn fail(&mut self, now: Time, weight: u32) -> bool {
         match self.state {
             // Attempts from before the ejection must not lengthen it.
-            State::Ejected(_) | State::Probing(false) => false,
-            State::Probing(true) | State::Recovering(_) => true,
-            State::Serving => {
+            HealthState::Ejected(_) | HealthState::Probing(false) => false,
+            HealthState::Probing(true) | HealthState::Recovering(_) => true,
+            HealthState::Serving => {
                 self.streak = self.streak.saturating_add(weight);
                 self.window.record(now, true);
                 self.streak >= STREAK_LIMIT || self.window.exceeded()
@@ -138,24 +138,24 @@
         self.last_until = until;
         self.streak = 0;
         self.window = Window::default();
-        self.state = State::Ejected(until);
+        self.state = HealthState::Ejected(until);
         until
     }
 
     /// Keeps an upstream in service that should be ejected but for the limit on ejections.
     pub(crate) fn hold(&mut self) {
-        if let State::Recovering(_) = self.state {
-            self.state = State::Recovering(1);
+        if let HealthState::Recovering(_) = self.state {
+            self.state = HealthState::Recovering(1);
         }
     }
 
     /// Starts probing after the ejection time.
     pub(crate) fn probe(&mut self) {
-        self.state = State::Probing(false);
+        self.state = HealthState::Probing(false);
     }
 
     /// Returns the upstream to service with one request at a time.
     pub(crate) fn reinstate(&mut self) {
-        self.state = State::Recovering(1);
+        self.state = HealthState::Recovering(1);
     }
 }
--- a/crates/route/src/health/mod.rs
+++ b/crates/route/src/health/mod.rs
@@ -4,4 +4,4 @@
 mod window;
 
 pub(crate) use health::Health;
-pub use health::State;
+pub use health::HealthState;
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -9,13 +9,13 @@
 pub mod partition;
 mod router;
 
-pub use health::State;
+pub use health::HealthState;
 pub use router::{
+    AttemptResult,
+    Attributes,
     Counters,
     Drain,
-    Report,
+    DrainSource,
     Router,
-    Sign,
-    Site,
     Status, //
 };
--- a/crates/route/src/partition/claim.rs
+++ b/crates/route/src/partition/claim.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Entry,
-    MILLI,
+    MILLISLOTS_PER_SLOT,
     Upstream,
     hash::mix, //
 };
@@ -25,11 +25,11 @@
 
 impl Balance {
     fn room(&self) -> u64 {
-        (self.slots * MILLI).saturating_sub(self.wanted)
+        (self.slots * MILLISLOTS_PER_SLOT).saturating_sub(self.wanted)
     }
 
     fn excess(&self) -> u64 {
-        self.wanted.saturating_sub(self.slots * MILLI)
+        self.wanted.saturating_sub(self.slots * MILLISLOTS_PER_SLOT)
     }
 }
 
@@ -68,7 +68,7 @@
         .map(|entry| spill(entry, balance, balances))
         .collect();
     let granted = scale(&foreign, balance.room());
-    let left = balance.slots * MILLI - granted.iter().sum::<u64>();
+    let left = balance.slots * MILLISLOTS_PER_SLOT - granted.iter().sum::<u64>();
     let own: Vec<usize> = (0..entries.len())
         .filter(|&place| entries[place].availability_zone == balance.zone)
         .collect();
@@ -80,7 +80,7 @@
 }
 
 fn want(entry: &Entry) -> u64 {
-    entry.demand.max(u64::from(MINIMUM) * MILLI)
+    entry.demand.max(u64::from(MINIMUM) * MILLISLOTS_PER_SLOT)
 }
 
 /// Returns the demand of an entry that its own zone can't serve and that falls on the zone `here`.
@@ -118,7 +118,7 @@
         let rest = (slots - wanted) / count;
         return wants.iter().map(|want| want + rest).collect();
     }
-    let least = (u64::from(MINIMUM) * MILLI).min(slots / count);
+    let least = (u64::from(MINIMUM) * MILLISLOTS_PER_SLOT).min(slots / count);
     let rest = slots - least * count;
     let above = wanted - least * count;
     let share = |want: &u64| least + part(rest, want - least, above);
@@ -141,11 +141,16 @@
 fn round(balance: &Balance, entries: &[Entry], due: &[u64]) -> Vec<u32> {
     let mut whole: Vec<u32> = due
         .iter()
-        .map(|due| u32::try_from(due / MILLI).unwrap_or(u32::MAX))
+        .map(|due| u32::try_from(due / MILLISLOTS_PER_SLOT).unwrap_or(u32::MAX))
         .collect();
     let given: u64 = whole.iter().map(|slots| u64::from(*slots)).sum();
     let mut order: Vec<usize> = (0..due.len()).filter(|&place| due[place] > 0).collect();
-    let rank = |place: &usize| (due[*place] % MILLI, mix(entries[*place].id, balance.salt));
+    let rank = |place: &usize| {
+        (
+            due[*place] % MILLISLOTS_PER_SLOT,
+            mix(entries[*place].id, balance.salt),
+        )
+    };
     order.sort_unstable_by_key(|place| core::cmp::Reverse(rank(place)));
     let rest = usize::try_from(balance.slots.saturating_sub(given)).unwrap_or(usize::MAX);
     if order.is_empty() {
--- a/crates/route/src/partition/demand.rs
+++ b/crates/route/src/partition/demand.rs
@@ -3,7 +3,7 @@
 use sassafrascrank_base::prelude::*;
 
 /// Units of demand for one slot.
-pub const MILLI: u64 = 1_000;
+pub const MILLISLOTS_PER_SLOT: u64 = 1_000;
 
 /// Time between two steps of the decay.
 const STEP: Duration = Duration::from_millis(50);
@@ -42,17 +42,17 @@
     /// contract covers; otherwise a flood at one entry takes the slots of customers at the others.
     pub fn record(&mut self, now: Time, requests: u32) {
         self.advance(now);
-        self.wanted = u64::from(requests) * MILLI;
+        self.wanted = u64::from(requests) * MILLISLOTS_PER_SLOT;
         self.smooth = self.smooth.max(self.wanted);
     }
 
     /// Returns the value for the next report, in thousandths of a slot.
     pub fn report(&mut self, now: Time) -> u64 {
         self.advance(now);
-        let tolerance = (self.reported / HOLD_DIVISOR).max(MILLI);
+        let tolerance = (self.reported / HOLD_DIVISOR).max(MILLISLOTS_PER_SLOT);
         let moved = self.reported.abs_diff(self.smooth) > tolerance;
         // An entry that has become idle must not hold on to its last slot's worth of demand.
-        if moved || self.smooth < MILLI {
+        if moved || self.smooth < MILLISLOTS_PER_SLOT {
             self.reported = self.smooth;
         }
         self.reported
--- a/crates/route/src/partition/divide.rs
+++ b/crates/route/src/partition/divide.rs
@@ -40,7 +40,7 @@
 /// Entries with the same view compute parts that add up to the slots of each upstream whose zone has a live entry.
 /// The order of the arguments doesn't matter. Entries silent for 3 s count as dead, apart from `me`. Draining
 /// upstreams should be left out, or an idle entry may hold its only slot there.
-pub fn divide(now: Time, me: u64, entries: &[Entry], upstreams: &[Upstream]) -> Vec<u32> {
+pub fn target_quotas(now: Time, me: u64, entries: &[Entry], upstreams: &[Upstream]) -> Vec<u32> {
     let alive = |entry: &&Entry| entry.id == me || now.since(entry.heard) < SILENCE_LIMIT;
     let mut live: Vec<Entry> = entries.iter().filter(alive).copied().collect();
     live.sort_unstable_by_key(|entry| entry.id);
@@ -66,7 +66,7 @@
 /// Returns the parts that a new entry uses at once, before it has heard of others: one slot in all.
 ///
 /// The others hear of the entry with its first report, so at most this slot is used twice until then.
-pub fn start(me: u64, home: availability_zone::Key, upstreams: &[Upstream]) -> Vec<u32> {
+pub fn initial_quotas(me: u64, home: availability_zone::Key, upstreams: &[Upstream]) -> Vec<u32> {
     let own = |row: &usize| {
         let upstream = &upstreams[*row];
         upstream.availability_zone == home && upstream.slots >= claim::MINIMUM
--- a/crates/route/src/partition/mod.rs
+++ b/crates/route/src/partition/mod.rs
@@ -1,26 +1,26 @@
 //! Division of the slots of upstreams between the live entries, as a pure function of what they reported.
 //!
-//! [`divide`] gives the target parts of one entry, [`Part`] lets a target take effect without two entries using a
-//! slot, [`start`] gives the first parts of a new process, and [`Demand`] measures what an entry reports.
+//! [`target_quotas`] gives the target parts of one entry, [`Quota`] lets a target take effect without two entries using a
+//! slot, [`initial_quotas`] gives the first parts of a new process, and [`Demand`] measures what an entry reports.
 
 mod claim;
 mod demand;
 mod divide;
 mod hash;
-mod part;
+mod quota;
 
 pub use demand::{
     Demand,
-    MILLI, //
+    MILLISLOTS_PER_SLOT, //
 };
 pub use divide::{
     Entry,
     SILENCE_LIMIT,
     Upstream,
-    divide,
-    start, //
+    initial_quotas,
+    target_quotas, //
 };
-pub use part::{
-    Part,
+pub use quota::{
+    Quota,
     REPORT_INTERVAL, //
 };
--- a/crates/route/src/partition/part.rs
+++ b/crates/route/src/partition/quota.rs
@@ -13,14 +13,14 @@
 /// The part is the lowest target of the last report interval: it shrinks at once, and it grows only after the
 /// entries that lose the slots have had one interval to hear of it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Part {
+pub struct Quota {
     slots: u32,
     /// Targets above the part, rising, each with the time since which no lower one was seen.
     steps: [(u32, Time); STEP_LIMIT],
     len: usize,
 }
 
-impl Part {
+impl Quota {
     /// Starts with slots that are in force at once.
     pub fn new(slots: u32) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 
     /// Takes the present target and returns the slots in force.
-    pub fn follow(&mut self, now: Time, target: u32) -> u32 {
+    pub fn set_target(&mut self, now: Time, target: u32) -> u32 {
         self.ripen(now);
         if target <= self.slots {
             self.slots = target;
--- a/crates/route/src/router/site.rs
+++ b/crates/route/src/router/attributes.rs
@@ -4,7 +4,7 @@
 
 /// Place and size of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Site {
+pub struct Attributes {
     /// Where the upstream runs.
     pub availability_zone: availability_zone::Key,
     /// Requests that it runs at once, from all entries together.
@@ -13,7 +13,7 @@
 
 /// Where it became known that an upstream is leaving.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sign {
+pub enum DrainSource {
     /// The platform's host list.
     List,
     /// A response header of the upstream.
@@ -26,7 +26,7 @@
 
 /// How one attempt at an upstream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Report {
+pub enum AttemptResult {
     /// It answered after this time.
     Answered(Duration),
     /// It answered with a server error after this time.
--- a/crates/route/src/router/member.rs
+++ b/crates/route/src/router/member.rs
@@ -1,15 +1,15 @@
 //! State of one upstream within a router.
 
 use super::{
+    Attributes,
     Drain,
-    Site,
     Status, //
 };
 use crate::{
     estimate::Estimate,
     health::{
         Health,
-        State, //
+        HealthState, //
     },
 };
 use sassafrascrank_base::prelude::*;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Member {
     pub(crate) upstream: upstream::Key,
-    pub(crate) site: Site,
+    pub(crate) attributes: Attributes,
     pub(crate) zone: usize,
     pub(crate) quota: u32,
     pub(crate) running: u32,
@@ -57,10 +57,10 @@
 
 impl Member {
     /// Makes an upstream without quota and history.
-    pub(crate) fn new(upstream: upstream::Key, site: Site, zone: usize) -> Self {
+    pub(crate) fn new(upstream: upstream::Key, attributes: Attributes, zone: usize) -> Self {
         Self {
             upstream,
-            site,
+            attributes,
             zone,
             quota: 0,
             running: 0,
@@ -96,7 +96,7 @@
         if self.running >= limit {
             return Rank::MAX;
         }
-        if self.health.state() == State::Probing(false) {
+        if self.health.state() == HealthState::Probing(false) {
             return Rank::PROBE;
         }
         let load = (u64::from(self.running) << 32) / u64::from(limit);
@@ -108,7 +108,7 @@
     pub(crate) fn status(&self) -> Status {
         Status {
             upstream: self.upstream,
-            site: self.site,
+            attributes: self.attributes,
             quota: self.quota,
             running: self.running,
             drain: self.drain,
--- a/crates/route/src/router/mod.rs
+++ b/crates/route/src/router/mod.rs
@@ -1,17 +1,17 @@
 //! Upstreams of one pool and the choice among them.
 
+mod attributes;
 mod member;
 mod router;
-mod site;
 mod status;
 mod zone;
 
-pub use router::Router;
-pub use site::{
-    Report,
-    Sign,
-    Site, //
+pub use attributes::{
+    AttemptResult,
+    Attributes,
+    DrainSource, //
 };
+pub use router::Router;
 pub use status::{
     Counters,
     Drain,
--- a/crates/route/src/router/router.rs
+++ b/crates/route/src/router/router.rs
@@ -1,11 +1,11 @@
 //! Router of one pool.
 
 use super::{
+    AttemptResult,
+    Attributes,
     Counters,
     Drain,
-    Report,
-    Sign,
-    Site,
+    DrainSource,
     Status,
     member::{
         Member,
@@ -16,7 +16,7 @@
 };
 use crate::{
     estimate::Estimate,
-    health::State,
+    health::HealthState,
     heap::Heap, //
 };
 use sassafrascrank_base::prelude::*;
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Adds an upstream, or changes its site; its quota starts at 0.
+    /// Adds an upstream, or changes its attributes; its quota starts at 0.
     ///
     /// At most 4,096 upstreams in 16 availability zones are held; more are refused and counted.
-    pub fn insert(&mut self, _now: Time, upstream: upstream::Key, site: Site) {
+    pub fn insert(&mut self, _now: Time, upstream: upstream::Key, attributes: Attributes) {
         let known = self.slots.get(upstream).copied();
         let full = known.is_none() && self.members.len() >= UPSTREAM_LIMIT;
-        let zone = self.zone(site.availability_zone);
+        let zone = self.zone(attributes.availability_zone);
         let Some(zone) = zone.filter(|_| !full) else {
             self.counters.refused += 1;
             return;
         };
         let Some(slot) = known else {
-            let slot = self.members.insert(Member::new(upstream, site, zone));
+            let slot = self.members.insert(Member::new(upstream, attributes, zone));
             self.slots.insert(upstream, slot);
             // An ejection happens on the request path, which must not allocate.
             self.ejected.reserve(self.members.capacity());
@@ -100,7 +100,7 @@
         };
         self.withdraw(slot);
         if let Some(member) = self.members.get_mut(slot) {
-            member.site = site;
+            member.attributes = attributes;
             member.zone = zone;
         }
         self.refresh(slot);
@@ -132,8 +132,8 @@
         self.reinstate();
     }
 
-    /// Stops new work for an upstream that is leaving; tells whether this is the first sign.
-    pub fn drain(&mut self, now: Time, upstream: upstream::Key, sign: Sign) -> bool {
+    /// Stops new work for an upstream that is leaving; tells whether it was not draining before.
+    pub fn drain(&mut self, now: Time, upstream: upstream::Key, source: DrainSource) -> bool {
         let Some(slot) = self.find(upstream) else {
             return false;
         };
@@ -141,8 +141,8 @@
         if member.drain.is_some() {
             return false;
         }
-        member.drain = Some(Drain { since: now, sign });
-        self.counters.drained[sign as usize] += 1;
+        member.drain = Some(Drain { since: now, source });
+        self.counters.drained[source as usize] += 1;
         self.refresh(slot);
         self.reinstate();
         true
@@ -179,22 +179,24 @@
     }
 
     /// Gives a slot back and learns from how the attempt ended.
-    pub fn release(&mut self, now: Time, upstream: upstream::Key, report: Report) {
+    pub fn release(&mut self, now: Time, upstream: upstream::Key, report: AttemptResult) {
         let Some(slot) = self.find(upstream) else {
             return;
         };
         let member = &mut self.members[slot];
         member.running = member.running.saturating_sub(1);
         match report {
-            Report::Answered(time) => {
+            AttemptResult::Answered(time) => {
                 member.latency.learn(time);
                 self.service.learn(time);
                 let recovered = member.health.succeed(now, member.quota);
                 self.counters.recovered += u64::from(recovered);
             }
-            Report::Failed(_) | Report::Unreachable | Report::Lost => self.fail(now, slot, 1),
-            Report::TimedOut => self.fail(now, slot, TIMEOUT_WEIGHT),
-            Report::Stale | Report::Cancelled => member.health.ignore(),
+            AttemptResult::Failed(_) | AttemptResult::Unreachable | AttemptResult::Lost => {
+                self.fail(now, slot, 1)
+            }
+            AttemptResult::TimedOut => self.fail(now, slot, TIMEOUT_WEIGHT),
+            AttemptResult::Stale | AttemptResult::Cancelled => member.health.ignore(),
         }
         self.refresh(slot);
     }
@@ -316,7 +318,7 @@
         while self.out > self.ejected_limit() {
             let candidates = self.members.iter().filter(|(_, member)| member.counted.out);
             let next = candidates.min_by_key(|(_, member)| match member.health.state() {
-                State::Ejected(until) => until,
+                HealthState::Ejected(until) => until,
                 _ => Time::MIN,
             });
             let Some((slot, _)) = next else {
--- a/crates/route/src/router/status.rs
+++ b/crates/route/src/router/status.rs
@@ -1,19 +1,19 @@
 //! What an operator sees of a router.
 
 use super::{
-    Sign,
-    Site, //
+    Attributes,
+    DrainSource, //
 };
-use crate::health::State;
+use crate::health::HealthState;
 use sassafrascrank_base::prelude::*;
 
 /// Since when and why an upstream drains.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Drain {
-    /// When the first sign came.
+    /// When the first source came.
     pub since: Time,
-    /// The first sign.
-    pub sign: Sign,
+    /// The first source.
+    pub source: DrainSource,
 }
 
 /// State of one upstream.
@@ -22,7 +22,7 @@
     /// The upstream.
     pub upstream: upstream::Key,
     /// Its place and size.
-    pub site: Site,
+    pub attributes: Attributes,
     /// Slots of it that this entry may use.
     pub quota: u32,
     /// Slots that this entry uses.
@@ -30,7 +30,7 @@
     /// Whether it drains.
     pub drain: Option<Drain>,
     /// Whether its health lets it take work.
-    pub state: State,
+    pub state: HealthState,
     /// Learned time of an answer, if it has answered.
     pub latency: Option<Duration>,
 }
@@ -54,7 +54,7 @@
     pub recovered: u64,
     /// Ejected upstreams returned early because the pool shrank.
     pub reinstated: u64,
-    /// First drain signs, in the order of the declaration of [`Sign`].
+    /// First drain signs, in the order of the declaration of [`DrainSource`].
     pub drained: [u64; 4],
     /// Calls that named an unknown upstream.
     pub unknown: u64,
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -9,10 +9,10 @@
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Report,
+    AttemptResult,
+    Attributes,
+    HealthState,
     Router,
-    Site,
-    State,
     Status, //
 };
 use slotmap::SlotMap;
@@ -41,7 +41,7 @@
     pub(crate) failed: u64,
     pub(crate) quota: u32,
     arena: SlotMap<upstream::Key, ()>,
-    running: Vec<(Time, upstream::Key, Report)>,
+    running: Vec<(Time, upstream::Key, AttemptResult)>,
     random: StdRng,
     seed: u64,
 }
@@ -73,11 +73,11 @@
     /// Adds an upstream.
     pub(crate) fn add(&mut self, behaviour: Behaviour) -> upstream::Key {
         let key = self.arena.insert(());
-        let site = Site {
+        let attributes = Attributes {
             availability_zone: self.home,
             slots: 8,
         };
-        self.router.insert(self.now, key, site);
+        self.router.insert(self.now, key, attributes);
         self.router.set_quota(key, self.quota);
         self.keys.push(key);
         self.behaviours.push(behaviour);
@@ -110,7 +110,7 @@
 
     /// Returns the number of upstreams that are ejected or wait for a probe; draining ones don't count.
     pub(crate) fn out(&self) -> usize {
-        let out = |state| matches!(state, State::Ejected(_) | State::Probing(_));
+        let out = |state| matches!(state, HealthState::Ejected(_) | HealthState::Probing(_));
         self.router
             .statuses()
             .filter(|status| status.drain.is_none() && out(status.state))
@@ -138,24 +138,24 @@
         let seed = self.seed;
         assert!(status.running <= status.quota, "seed {seed}: {status:?}");
         let (time, report) = self.attempt(self.behaviours[place]);
-        self.failed += u64::from(!matches!(report, Report::Answered(_)));
+        self.failed += u64::from(!matches!(report, AttemptResult::Answered(_)));
         self.running.push((self.now + time, key, report));
         true
     }
 
-    fn attempt(&mut self, behaviour: Behaviour) -> (Duration, Report) {
+    fn attempt(&mut self, behaviour: Behaviour) -> (Duration, AttemptResult) {
         let phase = self.now.as_millis() / 5_000 % 2;
         match behaviour {
             Behaviour::Flaps if phase == 0 => self.attempt(Behaviour::FailsFast),
             Behaviour::Healthy | Behaviour::Flaps => {
                 let time = Duration::from_micros(self.random.random_range(10_000..30_000));
-                (time, Report::Answered(time))
+                (time, AttemptResult::Answered(time))
             }
             Behaviour::FailsFast => {
                 let time = Duration::from_millis(1);
-                (time, Report::Failed(time))
+                (time, AttemptResult::Failed(time))
             }
-            Behaviour::Silent => (Duration::from_secs(1), Report::TimedOut),
+            Behaviour::Silent => (Duration::from_secs(1), AttemptResult::TimedOut),
         }
     }
 
--- a/crates/route/tests/drain.rs
+++ b/crates/route/tests/drain.rs
@@ -6,8 +6,8 @@
 use core::fmt::Write;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Report,
-    Sign, //
+    AttemptResult,
+    DrainSource, //
 };
 
 /// The list shows a leaving host this long after it began to leave.
@@ -39,7 +39,7 @@
     /// Takes a slot if there is one and ends what is due; each request takes 200 ms.
     fn step(&mut self, now: Time) {
         let router = &mut self.pool.router;
-        let answer = Report::Answered(Duration::from_millis(200));
+        let answer = AttemptResult::Answered(Duration::from_millis(200));
         self.held.retain(|&(end, key)| {
             if end <= now {
                 router.release(now, key, answer);
@@ -54,20 +54,25 @@
         }
     }
 
-    fn drain(&mut self, now: Time, sign: Sign) -> bool {
+    fn drain(&mut self, now: Time, source: DrainSource) -> bool {
         let key = self.pool.keys[0];
-        self.pool.router.drain(now, key, sign)
+        self.pool.router.drain(now, key, source)
     }
 }
 
-/// Guards against new work for a leaving upstream more than 3 s after the first sign, at any entry.
+/// Guards against new work for a leaving upstream more than 3 s after the first source, at any entry.
 #[test]
 fn each_sign_stops_new_work_within_the_limit() {
     let mut table = String::new();
-    for sign in [Sign::List, Sign::Response, Sign::Connection, Sign::Peer] {
+    for source in [
+        DrainSource::List,
+        DrainSource::Response,
+        DrainSource::Connection,
+        DrainSource::Peer,
+    ] {
         let (mut near, mut far) = (Side::new(1), Side::new(2));
         let start = near.pool.now + Duration::from_millis(237);
-        let lag = if sign == Sign::List {
+        let lag = if source == DrainSource::List {
             LIST_LAG
         } else {
             Duration::from_millis(60)
@@ -78,26 +83,26 @@
         let mut now = near.pool.now;
         while now < start + LIST_LAG + DRAIN_LIMIT * 2 {
             if now >= first && !signalled {
-                assert!(near.drain(now, sign));
+                assert!(near.drain(now, source));
                 signalled = true;
             }
             if now >= next_report + DELAY && !told {
-                assert!(far.drain(now, Sign::Peer));
+                assert!(far.drain(now, DrainSource::Peer));
                 told = true;
             }
             // The list comes at last to both and is no news to either.
             if now >= start + LIST_LAG && signalled && told {
-                assert!(!near.drain(now, Sign::List));
-                assert!(!far.drain(now, Sign::List));
+                assert!(!near.drain(now, DrainSource::List));
+                assert!(!far.drain(now, DrainSource::List));
             }
             near.step(now);
             far.step(now);
             now = now + Duration::from_millis(5);
         }
-        let mut line = format!("{sign:?}: first sign after {lag:?}");
+        let mut line = format!("{source:?}: first sign after {lag:?}");
         for (name, side) in [("near", &near), ("far", &far)] {
             let after = side.last.unwrap().since(first);
-            assert!(after <= DRAIN_LIMIT, "{sign:?}: {after:?}");
+            assert!(after <= DRAIN_LIMIT, "{source:?}: {after:?}");
             let status = side.pool.status(0);
             // Work in flight has finished: nothing runs there any more.
             assert_eq!(status.running, 0);
@@ -106,7 +111,7 @@
             write!(
                 line,
                 "; {name} by {:?} after {since:?}, last work after {after:?}",
-                by.sign
+                by.source
             )
             .unwrap();
         }
@@ -124,7 +129,7 @@
         pool.behaviours[place] = common::Behaviour::FailsFast;
         pool.run(Duration::from_secs(2), Duration::from_millis(2));
         assert_eq!(pool.out(), 1);
-        pool.router.drain(pool.now, key, Sign::Response);
+        pool.router.drain(pool.now, key, DrainSource::Response);
         let status = pool.status(place);
         assert!(status.drain.is_some());
     }
@@ -136,7 +141,7 @@
 fn new_incarnation_starts_afresh() {
     let mut pool = Pool::new(4, 1, 2);
     let old = pool.keys[0];
-    pool.router.drain(pool.now, old, Sign::Connection);
+    pool.router.drain(pool.now, old, DrainSource::Connection);
     assert_eq!(pool.router.choose(pool.now, pool.home, false, None), None);
     let new = pool.add(common::Behaviour::Healthy);
     assert_eq!(
--- a/crates/route/tests/fleet/mod.rs
+++ b/crates/route/tests/fleet/mod.rs
@@ -9,11 +9,11 @@
 use sassafrascrank_route::partition::{
     Demand,
     Entry,
-    Part,
+    Quota,
     REPORT_INTERVAL,
     Upstream,
-    divide,
-    start, //
+    initial_quotas,
+    target_quotas, //
 };
 use slotmap::SlotMap;
 
@@ -31,7 +31,7 @@
     /// Number of its next reports that are lost on the way to every other entry.
     pub(crate) lose: u32,
     demand: Demand,
-    parts: Vec<Part>,
+    parts: Vec<Quota>,
     targets: Vec<u32>,
     view: Vec<Entry>,
     next_report: Time,
@@ -44,7 +44,7 @@
         if !self.alive {
             return 0;
         }
-        self.parts.iter().map(Part::slots).sum()
+        self.parts.iter().map(Quota::slots).sum()
     }
 }
 
@@ -118,7 +118,7 @@
 
     fn fresh(&mut self, place: usize) -> Node {
         let id = place as u64;
-        let parts = start(id, self.zone, &self.upstreams);
+        let parts = initial_quotas(id, self.zone, &self.upstreams);
         Node {
             wanted: 0,
             alive: true,
@@ -126,7 +126,7 @@
             lose: 0,
             demand: Demand::new(),
             targets: parts.clone(),
-            parts: parts.into_iter().map(Part::new).collect(),
+            parts: parts.into_iter().map(Quota::new).collect(),
             view: Vec::new(),
             next_report: self.moment(),
             next_look: Time::MIN,
@@ -175,10 +175,10 @@
         let node = &mut self.nodes[place];
         if !node.view.is_empty() && now >= node.next_look {
             node.next_look = now + LOOK;
-            node.targets = divide(now, place as u64, &node.view, &self.upstreams);
+            node.targets = target_quotas(now, place as u64, &node.view, &self.upstreams);
         }
         for (part, target) in node.parts.iter_mut().zip(&node.targets) {
-            part.follow(now, *target);
+            part.set_target(now, *target);
         }
     }
 }
--- a/crates/route/tests/health.rs
+++ b/crates/route/tests/health.rs
@@ -9,8 +9,8 @@
 use core::fmt::Write;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Report,
-    State, //
+    AttemptResult,
+    HealthState, //
 };
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -25,7 +25,7 @@
         let sent = pool.take_sent();
         let others = sent[1..].iter().sum::<u64>() / (sent.len() as u64 - 1);
         let state = match pool.status(0).state {
-            State::Ejected(until) => format!("ejected for {:?}", until.since(pool.now)),
+            HealthState::Ejected(until) => format!("ejected for {:?}", until.since(pool.now)),
             state => format!("{state:?}"),
         };
         let out = pool.out();
@@ -47,7 +47,7 @@
         writeln!(table, "seed {seed}\n{}", timeline(&mut pool, 4)).unwrap();
         pool.behaviours[0] = Behaviour::Healthy;
         writeln!(table, "healthy again\n{}", timeline(&mut pool, 5)).unwrap();
-        assert_eq!(pool.status(0).state, State::Serving, "seed {seed}");
+        assert_eq!(pool.status(0).state, HealthState::Serving, "seed {seed}");
     }
     table
 }
@@ -116,7 +116,7 @@
     for place in 3..9 {
         let key = pool.keys[place];
         pool.router
-            .drain(pool.now, key, sassafrascrank_route::Sign::List);
+            .drain(pool.now, key, sassafrascrank_route::DrainSource::List);
     }
     assert_eq!(pool.out(), 1);
     assert_eq!(pool.router.counters().reinstated, 2);
@@ -126,13 +126,13 @@
 /// Guards against an upstream whose failures never come in a row, and against ejection for a few of them.
 #[test]
 fn half_of_the_attempts_failing_ejects() {
-    let answer = Report::Answered(Duration::from_millis(20));
+    let answer = AttemptResult::Answered(Duration::from_millis(20));
     for (every, ejected) in [(2, 1), (3, 0), (10, 0)] {
         let mut pool = Pool::new(9, 1, 8);
         for attempt in 1..=40 {
             let chosen = pool.router.choose(pool.now, pool.home, false, None);
             let failed = attempt % every == 0;
-            let report = if failed { Report::Lost } else { answer };
+            let report = if failed { AttemptResult::Lost } else { answer };
             pool.router.release(pool.now, pool.keys[0], report);
             pool.now = pool.now + Duration::from_millis(100);
             if chosen.is_none() {
@@ -148,7 +148,7 @@
 fn stale_and_cancelled_attempts_leave_health_alone() {
     let mut pool = Pool::new(6, 3, 8);
     let now = pool.now;
-    for report in [Report::Stale, Report::Cancelled] {
+    for report in [AttemptResult::Stale, AttemptResult::Cancelled] {
         for _ in 0..100 {
             let key = pool.router.choose(now, pool.home, false, None).unwrap();
             pool.router.release(now, key, report);
@@ -171,13 +171,13 @@
     let mut now = pool.now;
     for _ in 0..5 {
         pool.router.choose(now, home, false, None).unwrap();
-        pool.router.release(now, key, Report::Unreachable);
+        pool.router.release(now, key, AttemptResult::Unreachable);
     }
     assert_eq!(pool.router.choose(now, home, false, None), None);
     now = pool.router.next_probe().unwrap();
     let mut table = String::new();
     // A probe that the caller cancels decides nothing, so another one follows.
-    for report in [Report::Cancelled, Report::Stale] {
+    for report in [AttemptResult::Cancelled, AttemptResult::Stale] {
         assert_eq!(pool.router.choose(now, home, false, None), Some(key));
         assert_eq!(pool.router.choose(now, home, false, None), None);
         pool.router.release(now, key, report);
@@ -188,10 +188,10 @@
             taken += 1;
         }
         writeln!(table, "{taken} at once, {:?}", pool.status(0).state).unwrap();
-        let answer = Report::Answered(Duration::from_millis(20));
+        let answer = AttemptResult::Answered(Duration::from_millis(20));
         pool.router.release(now, key, answer);
         for _ in 1..taken {
-            pool.router.release(now, key, Report::Cancelled);
+            pool.router.release(now, key, AttemptResult::Cancelled);
         }
     }
     insta::assert_snapshot!(table);
@@ -206,14 +206,14 @@
         pool.router.choose(now, home, false, None).unwrap();
     }
     for _ in 0..5 {
-        pool.router.release(now, key, Report::Lost);
+        pool.router.release(now, key, AttemptResult::Lost);
     }
     let until = pool.router.next_probe();
     let late = until.unwrap() + Duration::from_millis(1);
     pool.router.advance(late);
     for _ in 0..3 {
         assert_eq!(pool.router.choose(late, home, false, None), None);
-        pool.router.release(late, key, Report::TimedOut);
+        pool.router.release(late, key, AttemptResult::TimedOut);
     }
     assert_eq!(pool.router.counters().ejected, 1);
     assert_eq!(pool.router.choose(late, home, false, None), Some(key));
--- a/crates/route/tests/partition.rs
+++ b/crates/route/tests/partition.rs
@@ -10,10 +10,10 @@
 use sassafrascrank_route::partition::{
     Demand,
     Entry,
-    Part,
+    Quota,
     Upstream,
-    divide,
-    start, //
+    initial_quotas,
+    target_quotas, //
 };
 use slotmap::SlotMap;
 
@@ -57,7 +57,7 @@
 
     fn parts(&self, entry: usize) -> Vec<u32> {
         let me = self.entries[entry].id;
-        divide(NOW, me, &self.entries, &self.upstreams)
+        target_quotas(NOW, me, &self.entries, &self.upstreams)
     }
 
     fn all(&self) -> Vec<Vec<u32>> {
@@ -197,7 +197,7 @@
 fn new_entry_starts_with_one_slot() {
     let view = View::new(&[&[0], &[0]], &[5, 5]);
     for id in 0..50 {
-        let parts = start(id, view.zones[0], &view.upstreams);
+        let parts = initial_quotas(id, view.zones[0], &view.upstreams);
         assert_eq!(parts.iter().sum::<u32>(), 1, "{id}");
         assert_eq!(parts[..5].iter().sum::<u32>(), 1, "{id}");
     }
@@ -228,13 +228,13 @@
 fn part_is_the_lowest_target_of_the_last_interval() {
     for seed in 0..200 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut part = Part::new(0);
+        let mut part = Quota::new(0);
         let mut seen: Vec<(Time, u32)> = vec![(NOW, 0)];
         let mut now = NOW;
         for _ in 0..300 {
             now = now + Duration::from_millis(random.random_range(1..400));
             let target = random.random_range(0..9);
-            let slots = part.follow(now, target);
+            let slots = part.set_target(now, target);
             seen.push((now, target));
             // The target that was in force when the interval began counts too.
             let began = now - Duration::from_secs(1);
@@ -248,7 +248,7 @@
         }
         for _ in 0..12 {
             now = now + Duration::from_millis(500);
-            part.follow(now, 8);
+            part.set_target(now, 8);
         }
         assert_eq!(part.slots(), 8, "seed {seed}");
     }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -11,21 +11,21 @@
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Report,
-    Router,
-    Sign,
-    Site, //
+    AttemptResult,
+    Attributes,
+    DrainSource,
+    Router, //
 };
 use slotmap::SlotMap;
 
-const REPORTS: [Report; 7] = [
-    Report::Answered(Duration::from_millis(9)),
-    Report::Failed(Duration::from_millis(2)),
-    Report::Unreachable,
-    Report::Stale,
-    Report::Lost,
-    Report::TimedOut,
-    Report::Cancelled,
+const REPORTS: [AttemptResult; 7] = [
+    AttemptResult::Answered(Duration::from_millis(9)),
+    AttemptResult::Failed(Duration::from_millis(2)),
+    AttemptResult::Unreachable,
+    AttemptResult::Stale,
+    AttemptResult::Lost,
+    AttemptResult::TimedOut,
+    AttemptResult::Cancelled,
 ];
 
 /// Guards against traffic that crosses zones, ignores quotas or prefers a slow upstream.
@@ -43,14 +43,14 @@
         ('d', away, 2, 5),
     ] {
         let key = keys.insert(name);
-        let site = Site {
+        let attributes = Attributes {
             availability_zone: zone,
             slots: 8,
         };
-        router.insert(now, key, site);
+        router.insert(now, key, attributes);
         router.set_quota(key, quota);
         router.choose(now, zone, false, None);
-        let answer = Report::Answered(Duration::from_millis(millis));
+        let answer = AttemptResult::Answered(Duration::from_millis(millis));
         router.release(now, key, answer);
     }
     let mut order = String::new();
@@ -89,25 +89,25 @@
     let mut zones = SlotMap::with_key();
     let mut keys = SlotMap::with_key();
     let home = zones.insert(());
-    let site = Site {
+    let attributes = Attributes {
         availability_zone: home,
         slots: 8,
     };
     let now = Time::from_millis(5_000);
     let mut router = Router::new();
     let old = keys.insert(());
-    router.insert(now, old, site);
+    router.insert(now, old, attributes);
     router.set_quota(old, 1);
     assert_eq!(router.choose(now, home, false, None), Some(old));
     router.remove(old);
     keys.remove(old);
     let new = keys.insert(());
-    router.insert(now, new, site);
+    router.insert(now, new, attributes);
     router.set_quota(new, 1);
     router.set_quota(old, 8);
-    assert!(!router.drain(now, old, Sign::List));
+    assert!(!router.drain(now, old, DrainSource::List));
     assert_eq!(router.choose(now, home, false, None), Some(new));
-    router.release(now, old, Report::Unreachable);
+    router.release(now, old, AttemptResult::Unreachable);
     router.remove(old);
     assert_eq!(router.choose(now, home, false, None), None);
     assert_eq!(router.status(old), None);
@@ -147,7 +147,7 @@
     let key = pool.keys[place];
     match random.random_range(0..400) {
         0 => {
-            pool.router.drain(pool.now, key, Sign::Peer);
+            pool.router.drain(pool.now, key, DrainSource::Peer);
         }
         1 => {
             pool.router.remove(key);
@@ -176,7 +176,7 @@
 }
 
 fn check(pool: &mut Pool, seed: u64) {
-    use sassafrascrank_route::State;
+    use sassafrascrank_route::HealthState;
 
     pool.router.advance(pool.now);
     let avoid = pool.keys[0];
@@ -185,13 +185,13 @@
     let (mut usable, mut out) = (0, 0);
     for status in pool.router.statuses() {
         let allowed = match status.state {
-            State::Serving => u32::MAX,
-            State::Ejected(until) => {
+            HealthState::Serving => u32::MAX,
+            HealthState::Ejected(until) => {
                 assert!(until > pool.now, "seed {seed}: {status:?}");
                 0
             }
-            State::Probing(_) => 1,
-            State::Recovering(allowed) => allowed,
+            HealthState::Probing(_) => 1,
+            HealthState::Recovering(allowed) => allowed,
         };
         if status.drain.is_some() {
             continue;
@@ -203,7 +203,10 @@
             loads.push((load, status.upstream));
         }
         usable += u32::from(status.quota > 0);
-        let is_out = matches!(status.state, State::Ejected(_) | State::Probing(_));
+        let is_out = matches!(
+            status.state,
+            HealthState::Ejected(_) | HealthState::Probing(_)
+        );
         out += u32::from(is_out && status.quota > 0);
     }
     assert_eq!(pool.router.slots(pool.home, false), slots, "seed {seed}");
@@ -220,7 +223,7 @@
     assert_eq!(chosen.is_some(), lowest.is_some(), "seed {seed}");
     assert_eq!(chosen.and_then(load), lowest, "seed {seed}: {chosen:?}");
     if let Some(key) = chosen {
-        pool.router.release(pool.now, key, Report::Cancelled);
+        pool.router.release(pool.now, key, AttemptResult::Cancelled);
     }
 }
 
@@ -260,7 +263,8 @@
             pool.router
                 .choose(pool.now, pool.home, false, None)
                 .unwrap();
-            pool.router.release(pool.now, key, Report::Answered(time));
+            pool.router
+                .release(pool.now, key, AttemptResult::Answered(time));
         }
         writeln!(table, "{label}: {:?}", pool.router.service_time()).unwrap();
     };
@@ -281,19 +285,19 @@
     let now = Time::from_millis(5_000);
     let mut router = Router::new();
     for _ in 0..17 {
-        let site = Site {
+        let attributes = Attributes {
             availability_zone: zones.insert(()),
             slots: 8,
         };
-        router.insert(now, keys.insert(()), site);
+        router.insert(now, keys.insert(()), attributes);
     }
     assert_eq!(router.counters().refused, 1);
-    let site = Site {
+    let attributes = Attributes {
         availability_zone: zones.keys().next().unwrap(),
         slots: 8,
     };
     for _ in 16..5_000 {
-        router.insert(now, keys.insert(()), site);
+        router.insert(now, keys.insert(()), attributes);
     }
     assert_eq!(router.statuses().count(), 4_096);
     assert_eq!(router.counters().refused, 1 + 5_000 - 4_096);
