--- a/crates/fleet/examples/planner.rs
+++ b/crates/fleet/examples/planner.rs
@@ -59,7 +59,7 @@
         inventory.set(&Subject::Host(key.clone()), 1, &value, Time::MIN);
         let zone = host % 4;
         let rack = format!("z{zone}-r{}", host / 16);
-        inventory.place(&key, &name(&format!("z{zone}")), &name(&rack));
+        inventory.set_location(&key, &name(&format!("z{zone}")), &name(&rack));
         inventory.observe(&key, report(Time::MIN));
     }
     inventory
--- a/crates/fleet/src/budget/budget.rs
+++ b/crates/fleet/src/budget/budget.rs
@@ -32,7 +32,7 @@
     /// The host fails, so that it is not the planner's to drain.
     Failed,
     /// The platform has not said where the host stands.
-    Unplaced,
+    ZoneUnknown,
 }
 
 impl Budget {
@@ -112,8 +112,8 @@
     if is_failed(host, reservation) {
         return Err(Refusal::Failed);
     }
-    let Some((zone, _)) = host.place else {
-        return Err(Refusal::Unplaced);
+    let Some((zone, _)) = host.location else {
+        return Err(Refusal::ZoneUnknown);
     };
     if let Some(worked) = worked_zone(inventory, pool, reservation)
         && worked != zone
--- a/crates/fleet/src/budget/domain.rs
+++ b/crates/fleet/src/budget/domain.rs
@@ -28,7 +28,7 @@
 ) -> BTreeMap<(availability_zone::Key, rack::Key), Domain> {
     let mut domains = BTreeMap::new();
     for (_, host) in inventory.hosts(pool) {
-        let Some(place) = host.place else {
+        let Some(place) = host.location else {
             continue;
         };
         let domain: &mut Domain = domains.entry(place).or_default();
@@ -57,6 +57,6 @@
     let mut hosts = inventory.hosts(pool);
     let reserved = hosts.find(|(_, host)| reservation.hosts.contains_key(&host.name));
     reserved
-        .and_then(|(_, host)| host.place)
+        .and_then(|(_, host)| host.location)
         .map(|(zone, _)| zone)
 }
--- a/crates/fleet/src/explain/explain.rs
+++ b/crates/fleet/src/explain/explain.rs
@@ -26,7 +26,7 @@
     /// It is done.
     Finished(Finish),
     /// It must stay in service now.
-    Kept(Refusal),
+    Blocked(Refusal),
     /// The wave starts no drains.
     Halted(Progress),
     /// It may leave service now.
@@ -84,12 +84,12 @@
             Some(progress) => State::Halted(progress),
             None => match budget::check(inventory, pool_key, reservation, host) {
                 Ok(()) => State::Ready,
-                Err(refusal) => State::Kept(refusal),
+                Err(refusal) => State::Blocked(refusal),
             },
         },
     };
     let mut explanation = explain_pool(inventory, pool_key)?;
-    if let State::Kept(Refusal::Zone(zone)) = state {
+    if let State::Blocked(Refusal::Zone(zone)) = state {
         explanation.zone = inventory.zone(zone).cloned();
     }
     explanation.target = reservation.moves.get(&host.name).cloned();
@@ -117,15 +117,15 @@
                     None => write!(f, "{:?} in wave {}; ", absence.step, absence.wave)?,
                 },
                 State::Finished(finish) => write!(f, "finished ({:?}); ", finish.result)?,
-                State::Kept(Refusal::Budget(_)) => {
+                State::Blocked(Refusal::Budget(_)) => {
                     write!(f, "stays in service, the budget is used up; ")?;
                 }
-                State::Kept(Refusal::Zone(_)) => {
+                State::Blocked(Refusal::Zone(_)) => {
                     let zone = self.zone.as_ref().map_or("unknown", Name::as_str);
                     write!(f, "stays in service while zone {zone} is worked on; ")?;
                 }
-                State::Kept(Refusal::Failed) => write!(f, "failed on its own; ")?,
-                State::Kept(Refusal::Unplaced) => write!(f, "its zone is unknown; ")?,
+                State::Blocked(Refusal::Failed) => write!(f, "failed on its own; ")?,
+                State::Blocked(Refusal::ZoneUnknown) => write!(f, "its zone is unknown; ")?,
                 State::Halted(progress) => write!(f, "waits, the wave is halted ({progress:?}); ")?,
                 State::Ready => write!(f, "may leave service now; ")?,
             }
--- a/crates/fleet/src/explain/summary.rs
+++ b/crates/fleet/src/explain/summary.rs
@@ -21,7 +21,7 @@
     /// Whether it starts drains.
     pub progress: Progress,
     /// The pool that halts it and the offset of that pool's reservation, if it is halted.
-    pub holder: Option<(Name, u64)>,
+    pub halted_by: Option<(Name, u64)>,
     /// Hosts that are done in it.
     pub done: usize,
     /// All hosts of all pools.
@@ -45,7 +45,7 @@
         progress: halt.map_or(Progress::Running, |(_, pool)| {
             pool.reservation.wave.progress
         }),
-        holder: halt.map(|(_, pool)| (pool.name.clone(), pool.basis.unwrap_or(0))),
+        halted_by: halt.map(|(_, pool)| (pool.name.clone(), pool.basis.unwrap_or(0))),
         done: begun.map(|(_, pool)| pool.reservation.finished.len()).sum(),
         hosts: inventory.pools().map(|(_, pool)| pool.hosts.len()).sum(),
         evidence: wave::evidence(inventory, now),
@@ -56,7 +56,7 @@
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "wave {}: {:?}", self.number, self.progress)?;
-        if let Some((pool, offset)) = &self.holder {
+        if let Some((pool, offset)) = &self.halted_by {
             write!(f, " by reservation/{pool} at offset {offset}")?;
         }
         let evidence = self.evidence;
@@ -65,9 +65,9 @@
             "; {} of {} hosts done; {} returned hosts failed in {} s of service, {} others in {} s",
             self.done,
             self.hosts,
-            evidence.returned,
+            evidence.returned_failures,
             evidence.returned_seconds,
-            evidence.others,
+            evidence.other_failures,
             evidence.other_seconds
         )?;
         self.late.iter().try_for_each(|late| write!(f, "\n{late}"))
--- a/crates/fleet/src/inventory/host.rs
+++ b/crates/fleet/src/inventory/host.rs
@@ -63,7 +63,7 @@
     /// Offset of the assignment, 0 if there is none.
     pub offset: u64,
     /// Zone and rack; `None` until the platform lists the host.
-    pub place: Option<(availability_zone::Key, rack::Key)>,
+    pub location: Option<(availability_zone::Key, rack::Key)>,
     /// Last report; `None` until the platform lists the host.
     pub observation: Option<Observation>,
     /// Start of the last failure that was reported.
--- a/crates/fleet/src/inventory/inventory.rs
+++ b/crates/fleet/src/inventory/inventory.rs
@@ -71,11 +71,11 @@
     }
 
     /// Sets zone and rack of a host; racks of different zones have different names.
-    pub fn place(&mut self, host: &Name, zone: &Name, rack: &Name) {
+    pub fn set_location(&mut self, host: &Name, zone: &Name, rack: &Name) {
         let key = self.intern_host(host);
         let zone = intern(&mut self.zones, &mut self.zone_index, zone);
         let rack = intern(&mut self.racks, &mut self.rack_index, rack);
-        self.hosts[key].place = Some((zone, rack));
+        self.hosts[key].location = Some((zone, rack));
     }
 
     /// Takes the platform's report of a host.
@@ -203,7 +203,7 @@
                 name: name.clone(),
                 pool: None,
                 offset: 0,
-                place: None,
+                location: None,
                 observation: None,
                 failed_at: None,
             })
--- a/crates/fleet/src/wave/draft.rs
+++ b/crates/fleet/src/wave/draft.rs
@@ -20,7 +20,7 @@
 
 /// What a proposal does.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// The pool starts a wave.
     Begin(u64),
     /// A host failed on its own.
@@ -72,13 +72,13 @@
     /// Assignment that changes together with it.
     pub join: Option<Join>,
     /// What it does.
-    pub acts: Vec<Act>,
+    pub actions: Vec<Action>,
 }
 
 /// A reservation under change. Times in it are whole milliseconds, as in records.
 pub(crate) struct Draft {
     pub(crate) value: Arc<Reservation>,
-    pub(super) acts: Vec<Act>,
+    pub(super) actions: Vec<Action>,
     join: Option<Join>,
     pub(super) now: Time,
 }
@@ -87,21 +87,21 @@
     pub(crate) fn new(pool: &Pool, now: Time) -> Self {
         Self {
             value: pool.reservation.clone(),
-            acts: Vec::new(),
+            actions: Vec::new(),
             join: None,
             now: Time::from_millis(now.as_millis()),
         }
     }
 
     pub(crate) fn finish(self, inventory: &Inventory, pool: &Pool) -> Option<Proposal> {
-        if self.acts.is_empty() {
+        if self.actions.is_empty() {
             return None;
         }
         Some(Proposal {
             subject: Subject::Reservation(pool.name.clone()),
             basis: inventory.basis(pool),
             value: self.value,
-            acts: self.acts,
+            actions: self.actions,
             join: self.join,
         })
     }
@@ -116,24 +116,24 @@
         self.edit().wave.started = self.now;
         self.edit().wave.since = self.now;
         self.edit().finished.clear();
-        self.acts.push(Act::Begin(number));
+        self.actions.push(Action::Begin(number));
     }
 
     pub(super) fn set_progress(&mut self, progress: Progress) {
         self.edit().wave.progress = progress;
         self.edit().wave.since = self.now;
-        self.acts.push(Act::Progress(progress));
+        self.actions.push(Action::Progress(progress));
     }
 
     pub(super) fn fail(&mut self, host: &Name, since: Time) {
         let since = Time::from_millis(since.as_millis());
         self.edit().failed.insert(host.clone(), since);
-        self.acts.push(Act::Failed(host.clone()));
+        self.actions.push(Action::Failed(host.clone()));
     }
 
     pub(super) fn recover(&mut self, host: &Name) {
         self.edit().failed.remove(host);
-        self.acts.push(Act::Recovered(host.clone()));
+        self.actions.push(Action::Recovered(host.clone()));
     }
 
     pub(super) fn step(&mut self, host: &Name, step: Step) {
@@ -144,23 +144,23 @@
         };
         self.edit().hosts.insert(host.clone(), absence);
         let host = host.clone();
-        self.acts.push(match step {
-            Step::Draining => Act::Drain(host),
-            Step::Out => Act::Out(host),
-            Step::Returning => Act::Return(host),
+        self.actions.push(match step {
+            Step::Draining => Action::Drain(host),
+            Step::Out => Action::Out(host),
+            Step::Returning => Action::Return(host),
         });
     }
 
     pub(crate) fn withdraw(&mut self, host: &Name) {
         self.edit().hosts.remove(host);
         self.edit().moves.remove(host);
-        self.acts.push(Act::Withdraw(host.clone()));
+        self.actions.push(Action::Withdraw(host.clone()));
     }
 
     pub(crate) fn leave(&mut self, host: &Name, pool: &Name) {
         self.step(host, Step::Draining);
         self.edit().moves.insert(host.clone(), pool.clone());
-        self.acts.push(Act::Leave(host.clone(), pool.clone()));
+        self.actions.push(Action::Leave(host.clone(), pool.clone()));
     }
 
     /// Returns whether a host joins another pool.
@@ -179,8 +179,8 @@
         }
         self.edit().hosts.remove(&host.name);
         self.edit().moves.remove(&host.name);
-        self.acts
-            .push(Act::Join(host.name.clone(), target.name.clone()));
+        self.actions
+            .push(Action::Join(host.name.clone(), target.name.clone()));
         self.join = Some(Join {
             host: host.name.clone(),
             basis: host.offset,
@@ -196,7 +196,7 @@
         self.edit()
             .finished
             .insert(host.clone(), Finish { at, result });
-        self.acts.push(Act::Finish(host.clone(), result));
+        self.actions.push(Action::Finish(host.clone(), result));
     }
 
     /// Stops the wave if it runs.
--- a/crates/fleet/src/wave/forecast.rs
+++ b/crates/fleet/src/wave/forecast.rs
@@ -137,7 +137,7 @@
         let work = host.observation.map(|observation| observation.work);
         let drain = work.map_or(Duration::ZERO, Work::remaining);
         let span = drain.min(rules.drain_limit) + rules.reboot + rules.proof;
-        zones.entry(host.place).or_default().push(span);
+        zones.entry(host.location).or_default().push(span);
     }
     zones
         .into_values()
--- a/crates/fleet/src/wave/mod.rs
+++ b/crates/fleet/src/wave/mod.rs
@@ -14,7 +14,7 @@
 };
 pub(crate) use draft::Draft;
 pub use draft::{
-    Act,
+    Action,
     Join,
     Proposal, //
 };
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -206,9 +206,11 @@
         let Some(zone) = worked.or_else(|| self.choose_zone(&pending)) else {
             return;
         };
-        pending.retain(|host| host.place.is_some_and(|(theirs, _)| theirs == zone));
+        pending.retain(|host| host.location.is_some_and(|(theirs, _)| theirs == zone));
         pending.sort_by_key(|host| {
-            let rack = host.place.and_then(|(_, rack)| self.inventory.rack(rack));
+            let rack = host
+                .location
+                .and_then(|(_, rack)| self.inventory.rack(rack));
             (
                 core::cmp::Reverse(self.estimate_drain(host)),
                 rack,
@@ -232,7 +234,7 @@
     /// Returns the zone with the most pending hosts, the first by name among equals.
     fn choose_zone(&self, pending: &[&Host]) -> Option<availability_zone::Key> {
         let mut counts: BTreeMap<&Name, (usize, availability_zone::Key)> = BTreeMap::new();
-        for (zone, _) in pending.iter().filter_map(|host| host.place) {
+        for (zone, _) in pending.iter().filter_map(|host| host.location) {
             if let Some(name) = self.inventory.zone(zone) {
                 counts.entry(name).or_insert((0, zone)).0 += 1;
             }
--- a/crates/fleet/src/wave/stop.rs
+++ b/crates/fleet/src/wave/stop.rs
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Evidence {
     /// Returned hosts that failed after their return.
-    pub returned: u64,
+    pub returned_failures: u64,
     /// Seconds in service since their return, summed over the returned hosts.
     pub returned_seconds: u64,
     /// Hosts not yet maintained that failed since the wave began.
-    pub others: u64,
+    pub other_failures: u64,
     /// Seconds since the wave began, summed over these hosts.
     pub other_seconds: u64,
 }
@@ -46,7 +46,7 @@
 /// answer is yes if there are at least two, and a number as high comes up in less than one of 1,000 cases. All
 /// figures are integers; rounding only makes a stop less likely.
 pub fn is_excessive(evidence: &Evidence) -> bool {
-    if evidence.returned < FAILURE_LIMIT {
+    if evidence.returned_failures < FAILURE_LIMIT {
         return false;
     }
     let total = u128::from(evidence.returned_seconds) + u128::from(evidence.other_seconds);
@@ -55,7 +55,7 @@
     }
     let share = u128::from(evidence.returned_seconds) * u128::from(ONE) / total;
     let share = u64::try_from(share).unwrap_or(ONE);
-    let (mut returned, mut others) = (evidence.returned, evidence.others);
+    let (mut returned, mut others) = (evidence.returned_failures, evidence.other_failures);
     while returned + others > COUNT_LIMIT {
         (returned, others) = (returned / 2, others.div_ceil(2));
     }
@@ -97,11 +97,11 @@
                 Place::Returned(at, broken) => {
                     let from = at.max(start);
                     let failed = (broken && at > start) || failed_after(host, from);
-                    evidence.returned += u64::from(failed);
+                    evidence.returned_failures += u64::from(failed);
                     evidence.returned_seconds += now.since(from).as_secs();
                 }
                 Place::Waiting => {
-                    evidence.others += u64::from(failed_after(host, start));
+                    evidence.other_failures += u64::from(failed_after(host, start));
                     evidence.other_seconds += now.since(start).as_secs();
                 }
                 Place::Away => {}
@@ -156,7 +156,7 @@
     let mut racks: BTreeMap<rack::Key, (usize, usize, pool::Key)> = BTreeMap::new();
     for (key, pool) in inventory.pools() {
         for (_, host) in inventory.hosts(key) {
-            let Some((_, rack)) = host.place else {
+            let Some((_, rack)) = host.location else {
                 continue;
             };
             let absence = pool.reservation.hosts.get(&host.name);
--- a/crates/fleet/tests/common/process.rs
+++ b/crates/fleet/tests/common/process.rs
@@ -55,7 +55,7 @@
     pub fn new(writer: &str, world: &World) -> Self {
         let mut inventory = Inventory::default();
         for host in &world.hosts {
-            inventory.place(&host.name, &host.zone, &host.rack);
+            inventory.set_location(&host.name, &host.zone, &host.rack);
         }
         Self {
             writer: name(writer),
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -21,7 +21,7 @@
 };
 use sassafrascrank_fleet::{
     Rules,
-    wave::Act, //
+    wave::Action, //
 };
 use sassafrascrank_ledger::Verdict;
 use std::collections::BTreeSet;
@@ -161,8 +161,9 @@
                 };
                 if after.hosts.iter().any(step) {
                     self.drains += 1;
-                    let acts = &pending.proposal.acts;
-                    let kept = |host: &&Name| !acts.contains(&Act::Recovered((*host).clone()));
+                    let actions = &pending.proposal.actions;
+                    let kept =
+                        |host: &&Name| !actions.contains(&Action::Recovered((*host).clone()));
                     let failed = before.failed.keys().filter(kept).cloned().collect();
                     let found = check_budget(&self.world, pool, &pending.known, &failed);
                     self.violation = self.violation.take().or(found);
--- a/crates/fleet/tests/wave.rs
+++ b/crates/fleet/tests/wave.rs
@@ -179,9 +179,9 @@
     ];
     let lines = cases.map(|(returned, returned_seconds, others, other_seconds)| {
         let evidence = Evidence {
-            returned,
+            returned_failures: returned,
             returned_seconds,
-            others,
+            other_failures: others,
             other_seconds,
         };
         let verdict = wave::is_excessive(&evidence);
@@ -214,8 +214,8 @@
                 }
             }
             for &(at, host) in failures.iter().filter(|&&(at, _)| at <= now) {
-                evidence.returned += u64::from(returns[host] <= at);
-                evidence.others += u64::from(returns[host] > now);
+                evidence.returned_failures += u64::from(returns[host] <= at);
+                evidence.other_failures += u64::from(returns[host] > now);
             }
             wave::is_excessive(&evidence)
         };
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -9,12 +9,12 @@
 pub use record::{
     Change,
     Entry,
-    Held,
     Image,
     Origin,
     Record,
-    Seen,
-    Snapshot, //
+    Revision,
+    Snapshot,
+    WriterState, //
 };
 pub use schedule::{
     Retention,
--- a/crates/ledger/src/record/image.rs
+++ b/crates/ledger/src/record/image.rs
@@ -8,7 +8,7 @@
 
 /// Value in force, or the tombstone of a removed subject.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct Revision {
     /// Offset of the change that set the value.
     pub offset: u64,
     /// Writer of that change.
@@ -19,7 +19,7 @@
 
 /// Highest sequence of one writer and incarnation.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
+pub struct WriterState {
     /// Name of the writer.
     pub writer: Name,
     /// Incarnation of the writer.
@@ -38,7 +38,7 @@
     /// Highest offset of a forgotten tombstone, 0 if none was forgotten; the basis of an absent subject.
     pub floor: u64,
     /// Values in force and tombstones, ordered by subject.
-    pub values: Vec<(Subject, Held)>,
+    pub values: Vec<(Subject, Revision)>,
     /// Writers, ordered by name and incarnation.
-    pub writers: Vec<Seen>,
+    pub writers: Vec<WriterState>,
 }
--- a/crates/ledger/src/record/mod.rs
+++ b/crates/ledger/src/record/mod.rs
@@ -5,9 +5,9 @@
 mod record;
 
 pub use image::{
-    Held,
     Image,
-    Seen, //
+    Revision,
+    WriterState, //
 };
 pub use origin::Origin;
 pub use record::{
--- a/crates/ledger/src/state/check.rs
+++ b/crates/ledger/src/state/check.rs
@@ -6,7 +6,7 @@
 };
 use crate::record::{
     Entry,
-    Held, //
+    Revision, //
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::model::{
@@ -148,7 +148,7 @@
 }
 
 fn check_unused(table: &Table, pool: &Name) -> Result<(), Error> {
-    let uses = |held: &Held| match &held.value {
+    let uses = |held: &Revision| match &held.value {
         Value::Contract(contract) => contract.share(pool).is_some(),
         Value::Assignment(assignment) => assignment.pool == *pool,
         _ => false,
--- a/crates/ledger/src/state/state.rs
+++ b/crates/ledger/src/state/state.rs
@@ -10,10 +10,10 @@
 use crate::record::{
     Change,
     Entry,
-    Held,
     Image,
     Origin,
     Record,
+    Revision,
     Snapshot, //
 };
 use sassafrascrank_base::prelude::*;
@@ -108,7 +108,7 @@
     }
 
     /// Returns the value of `subject` with its offset, or the tombstone if it was removed.
-    pub fn get(&self, subject: &Subject) -> Option<&Held> {
+    pub fn get(&self, subject: &Subject) -> Option<&Revision> {
         self.table.get(subject)
     }
 
@@ -250,7 +250,7 @@
         let mut subjects = Vec::with_capacity(change.entries.len());
         let mut before = Vec::with_capacity(change.entries.len());
         for entry in change.entries {
-            let held = Held {
+            let held = Revision {
                 offset,
                 writer: writer.clone(),
                 value: entry.value,
@@ -280,7 +280,7 @@
         })
     }
 
-    fn undo(&mut self, subjects: Vec<Subject>, before: Vec<Option<Held>>) {
+    fn undo(&mut self, subjects: Vec<Subject>, before: Vec<Option<Revision>>) {
         for (subject, held) in subjects.into_iter().zip(before) {
             match held {
                 Some(held) => drop(self.table.put(subject, held)),
--- a/crates/ledger/src/state/table.rs
+++ b/crates/ledger/src/state/table.rs
@@ -1,6 +1,6 @@
 //! Values in force and tombstones, in an arena with an index by subject.
 
-use crate::record::Held;
+use crate::record::Revision;
 use sassafrascrank_contract::model::{
     Subject,
     Value, //
@@ -25,7 +25,7 @@
 
 struct Slot {
     subject: Subject,
-    held: Held,
+    held: Revision,
 }
 
 /// Values and tombstones by subject.
@@ -50,7 +50,7 @@
         self.floor
     }
 
-    pub(super) fn get(&self, subject: &Subject) -> Option<&Held> {
+    pub(super) fn get(&self, subject: &Subject) -> Option<&Revision> {
         let key = self.index.get(subject)?;
         self.arena.get(*key).map(|slot| &slot.held)
     }
@@ -61,13 +61,13 @@
     }
 
     /// Returns values and tombstones ordered by subject.
-    pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = (&Subject, &Held)> + Clone {
+    pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = (&Subject, &Revision)> + Clone {
         let slots = self.index.values().filter_map(|key| self.arena.get(*key));
         slots.map(|slot| (&slot.subject, &slot.held))
     }
 
     /// Sets a value and returns the one before it.
-    pub(super) fn put(&mut self, subject: Subject, held: Held) -> Option<Held> {
+    pub(super) fn put(&mut self, subject: Subject, held: Revision) -> Option<Revision> {
         let before = self.take(&subject);
         let tombstone = held.value == Value::Removed;
         let offset = held.offset;
@@ -83,7 +83,7 @@
     }
 
     /// Removes a value without a trace, to undo a change.
-    pub(super) fn take(&mut self, subject: &Subject) -> Option<Held> {
+    pub(super) fn take(&mut self, subject: &Subject) -> Option<Revision> {
         let key = self.index.remove(subject)?;
         let held = self.arena.remove(key)?.held;
         self.removed.remove(&(held.offset, key));
--- a/crates/ledger/src/state/writers.rs
+++ b/crates/ledger/src/state/writers.rs
@@ -2,7 +2,7 @@
 
 use crate::record::{
     Origin,
-    Seen, //
+    WriterState, //
 };
 use sassafrascrank_base::prelude::*;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
         true
     }
 
-    pub(super) fn load(seen: Vec<Seen>) -> Self {
+    pub(super) fn load(seen: Vec<WriterState>) -> Self {
         let entries = seen.into_iter();
         let seen = entries
             .map(|seen| {
@@ -48,10 +48,10 @@
         Self { seen }
     }
 
-    pub(super) fn save(&self) -> Vec<Seen> {
+    pub(super) fn save(&self) -> Vec<WriterState> {
         let entries = self.seen.iter();
         entries
-            .map(|((writer, incarnation), &(sequence, offset))| Seen {
+            .map(|((writer, incarnation), &(sequence, offset))| WriterState {
                 writer: writer.clone(),
                 incarnation: *incarnation,
                 sequence,
--- a/crates/peer/src/wire/image.rs
+++ b/crates/peer/src/wire/image.rs
@@ -90,13 +90,13 @@
 }
 
 impl Held {
-    fn check(self, through: u64) -> Result<(model::Subject, ledger::Held), Error> {
+    fn check(self, through: u64) -> Result<(model::Subject, ledger::Revision), Error> {
         check_offset("values.offset", self.offset, through)?;
         let subject = model::Subject::try_from(self.subject.as_str());
         let subject =
             subject.map_err(|error| Error::new("subject", &self.subject, error.to_string()))?;
         let value = model::Value::try_from(self.value);
-        let held = ledger::Held {
+        let held = ledger::Revision {
             offset: self.offset,
             writer: parse_name("values.writer", &self.writer)?,
             value: value.map_err(|error| Error::from(error).within(&self.subject))?,
@@ -106,9 +106,9 @@
 }
 
 impl Seen {
-    fn check(self, through: u64) -> Result<ledger::Seen, Error> {
+    fn check(self, through: u64) -> Result<ledger::WriterState, Error> {
         check_offset("writers.offset", self.offset, through)?;
-        Ok(ledger::Seen {
+        Ok(ledger::WriterState {
             writer: parse_name("writers.writer", &self.writer)?,
             incarnation: self.incarnation,
             sequence: self.sequence,
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -26,9 +26,9 @@
     Value, //
 };
 use sassafrascrank_ledger::{
-    Held,
     Image,
-    Seen, //
+    Revision,
+    WriterState, //
 };
 use sassafrascrank_peer::message::{
     Demand,
@@ -135,7 +135,7 @@
 }
 
 pub(crate) fn image(through: u64) -> Image {
-    let held = |value| Held {
+    let held = |value| Revision {
         offset: 3,
         writer: name("ana"),
         value,
@@ -153,7 +153,7 @@
             ),
             (Subject::Pool(name("old")), held(Value::Removed)),
         ],
-        writers: vec![Seen {
+        writers: vec![WriterState {
             writer: name("ana"),
             incarnation: 5,
             sequence: 2,
--- a/crates/platform/src/wire/config.rs
+++ b/crates/platform/src/wire/config.rs
@@ -223,7 +223,7 @@
     }
 }
 
-impl TryFrom<Seen> for ledger::Seen {
+impl TryFrom<Seen> for ledger::WriterState {
     type Error = Error;
 
     fn try_from(wire: Seen) -> Result<Self, Error> {
@@ -236,9 +236,9 @@
     }
 }
 
-fn convert_held(wire: Held) -> Result<(model::Subject, ledger::Held), Error> {
+fn convert_held(wire: Held) -> Result<(model::Subject, ledger::Revision), Error> {
     let subject = parse_subject(&wire.subject)?;
-    let held = ledger::Held {
+    let held = ledger::Revision {
         offset: wire.offset,
         writer: parse_name("writer", &wire.writer)?,
         value: check_value(&wire.subject, wire.value)?,
--- a/crates/platform/tests/wire.rs
+++ b/crates/platform/tests/wire.rs
@@ -13,12 +13,12 @@
 use sassafrascrank_ledger::{
     Change,
     Entry,
-    Held,
     Image,
     Origin,
     Record,
-    Seen,
-    Snapshot, //
+    Revision,
+    Snapshot,
+    WriterState, //
 };
 use sassafrascrank_platform::{
     Condition, Host,
@@ -86,7 +86,7 @@
                 floor,
                 values: values
                     .map(|((subject, value), offset, writer)| {
-                        let held = Held {
+                        let held = Revision {
                             offset,
                             writer,
                             value,
@@ -95,7 +95,7 @@
                     })
                     .collect(),
                 writers: writers
-                    .map(|(origin, offset)| Seen {
+                    .map(|(origin, offset)| WriterState {
                         writer: origin.writer,
                         incarnation: origin.incarnation,
                         sequence: origin.sequence,
@@ -260,7 +260,7 @@
             value: value.clone(),
         }],
     });
-    let held = Held {
+    let held = Revision {
         offset: 5,
         writer: origin.writer.clone(),
         value,
@@ -272,7 +272,7 @@
             through: 5,
             floor: 0,
             values: vec![(subject, held)],
-            writers: vec![Seen {
+            writers: vec![WriterState {
                 writer: origin.writer.clone(),
                 incarnation: 7,
                 sequence: 1,
--- a/crates/tool/src/departure/decision.rs
+++ b/crates/tool/src/departure/decision.rs
@@ -22,7 +22,7 @@
         Host,
         Pool, //
     },
-    wave::Act, //
+    wave::Action, //
 };
 use std::sync::Arc;
 
@@ -76,7 +76,7 @@
                 write!(f, "hosts of zone {zone} are out of service")?;
             }
             Refusal::Failed => write!(f, "the host failed, is leaving or is not listed")?,
-            Refusal::Unplaced => write!(f, "the platform does not say where the host stands")?,
+            Refusal::ZoneUnknown => write!(f, "the platform does not say where the host stands")?,
         }
         write!(f, "; pool {pool}: {budget}")
     }
@@ -138,18 +138,18 @@
         wave: reservation.wave.number,
     };
     reservation.hosts.insert(host.clone(), absence);
-    let act = match target {
+    let action = match target {
         Some(target) => {
             reservation.moves.insert(host.clone(), target.clone());
-            Act::Leave(host.clone(), target.clone())
+            Action::Leave(host.clone(), target.clone())
         }
-        None => Act::Drain(host.clone()),
+        None => Action::Drain(host.clone()),
     };
     Proposal {
         subject: Subject::Reservation(pool.name.clone()),
         basis: inventory.basis(pool),
         value: Arc::new(reservation),
         join: None,
-        acts: vec![act],
+        actions: vec![action],
     }
 }
--- a/crates/tool/src/fleet/view.rs
+++ b/crates/tool/src/fleet/view.rs
@@ -100,7 +100,7 @@
         inventory.set(subject, held.offset, &held.value, Time::MIN);
     }
     for host in listed.values() {
-        inventory.place(&host.host, &host.zone, &host.rack);
+        inventory.set_location(&host.host, &host.zone, &host.rack);
     }
     let assigned = state.hosts().map(|(name, _, _)| name);
     for name in assigned.chain(listed.keys()) {
--- a/crates/tool/src/why/answer.rs
+++ b/crates/tool/src/why/answer.rs
@@ -135,10 +135,10 @@
             Maintenance::Broken => "broken",
             Maintenance::Skipped => "skipped",
         },
-        State::Kept(Refusal::Budget(_)) => "the budget is used up",
-        State::Kept(Refusal::Zone(_)) => "another zone is worked on",
-        State::Kept(Refusal::Failed) => "failed",
-        State::Kept(Refusal::Unplaced) => "its zone is unknown",
+        State::Blocked(Refusal::Budget(_)) => "the budget is used up",
+        State::Blocked(Refusal::Zone(_)) => "another zone is worked on",
+        State::Blocked(Refusal::Failed) => "failed",
+        State::Blocked(Refusal::ZoneUnknown) => "its zone is unknown",
         State::Halted(_) => "the wave is halted",
         State::Ready => "ready",
     }
@@ -146,16 +146,16 @@
 
 impl From<&Summary> for Wave {
     fn from(summary: &Summary) -> Self {
-        let holder = summary.holder.as_ref();
+        let halted_by = summary.halted_by.as_ref();
         Self {
             wave: summary.number,
             progress: describe_progress(summary.progress),
-            halted_by: holder.map(|(pool, offset)| (pool.to_string(), *offset)),
+            halted_by: halted_by.map(|(pool, offset)| (pool.to_string(), *offset)),
             done: summary.done,
             hosts: summary.hosts,
-            returned_failures: summary.evidence.returned,
+            returned_failures: summary.evidence.returned_failures,
             returned_seconds: summary.evidence.returned_seconds,
-            other_failures: summary.evidence.others,
+            other_failures: summary.evidence.other_failures,
             other_seconds: summary.evidence.other_seconds,
             late: summary.late.iter().map(Late::from).collect(),
         }
