--- a/crates/peer/tests/format.rs
+++ b/crates/peer/tests/format.rs
@@ -5,7 +5,7 @@
 
 use core::fmt::Write;
 use insta::assert_snapshot;
-use sassafrascrank_claim::table::Fate;
+use sassafrascrank_claim::table::RequestState;
 use sassafrascrank_peer::{
     message::{
         self,
@@ -38,9 +38,9 @@
 
 fn handover() -> message::Handover {
     let mut handover = common::handover(&[None, None, None]);
-    handover.items[0].fate = Fate::Lost;
-    handover.items[1].fate = Fate::Dropped;
-    handover.items[2].fate = Fate::Answered(Stored {
+    handover.items[0].state = RequestState::Lost;
+    handover.items[1].state = RequestState::Dropped;
+    handover.items[2].state = RequestState::Answered(Stored {
         status: 201,
         headers: vec![("x-a".to_owned(), "value".into())],
         body: Some("body".into()),
