--- a/crates/control/src/control/calls.rs
+++ b/crates/control/src/control/calls.rs
@@ -17,7 +17,7 @@
 use sassafrascrank_job::{
     Id,
     Record,
-    book::State, //
+    replica::State, //
 };
 use std::collections::HashMap;
 
--- a/crates/control/src/control/control.rs
+++ b/crates/control/src/control/control.rs
@@ -8,22 +8,22 @@
 use crate::{
     front,
     port::{
-        Notice,
+        OperatorRecord,
         Topic, //
     },
     store, //
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::{
-    Book, Id, Record,
-    book::{
+    Id, Record, Replica,
+    replica::{
         Change,
         State, //
     },
 };
 use sassafrascrank_lead::{
-    Rules,
     Seat,
+    Timing,
     seat::Heard, //
 };
 use sassafrascrank_schedule::{
@@ -54,7 +54,7 @@
     /// Name of the entry.
     pub name: Arc<str>,
     /// Start of the process, microseconds since the Unix epoch.
-    pub born: u64,
+    pub incarnation: u64,
     /// Processor in thousandths of a core.
     pub capacity: u32,
 }
@@ -70,7 +70,7 @@
 /// State of the thread.
 pub struct Control {
     pub(super) identity: Identity,
-    pub(super) book: Book,
+    pub(super) book: Replica,
     pub(super) seat: Seat,
     pub(super) claim: Option<Claim>,
     pub(super) engine: Option<Engine>,
@@ -110,17 +110,17 @@
     /// Makes the state of a process that has read nothing.
     pub fn new(
         identity: Identity,
-        lead: Rules,
+        lead: Timing,
         rules: sassafrascrank_schedule::Rules,
         retention: Duration,
         now: Time,
     ) -> Self {
-        let name = Id(identity.born).0 ^ sassafrascrank_base::hash::text(&identity.name);
+        let name = Id(identity.incarnation).0 ^ sassafrascrank_base::hash::text(&identity.name);
         let place = sassafrascrank_base::hash::mix(name);
         let seat = Seat::new(lead, place, identity.capacity, now);
         Self {
             identity,
-            book: Book::default(),
+            book: Replica::default(),
             seat,
             claim: None,
             engine: None,
@@ -239,12 +239,13 @@
                 epoch: leader.epoch,
                 capacity: leader.capacity,
                 resigned: leader.resigned,
-                own_past: leader.holder == self.identity.name && leader.born != self.identity.born,
+                own_past: leader.holder == self.identity.name
+                    && leader.incarnation != self.identity.incarnation,
             },
             Record::Progress(progress) => self.heard_epoch(progress.epoch),
             Record::Wave(wave) => self.heard_epoch(wave.epoch),
-            Record::Ordered(ordered) => self.heard_epoch(ordered.epoch),
-            Record::Turns(turns) => self.heard_epoch(turns.epoch),
+            Record::HostOrder(ordered) => self.heard_epoch(ordered.epoch),
+            Record::Demand(turns) => self.heard_epoch(turns.epoch),
             _ => return,
         };
         let own = self.claim.as_ref().map_or(0, |claim| claim.epoch);
@@ -264,7 +265,8 @@
             capacity: leader.map_or(0, |leader| leader.capacity),
             resigned: leader.is_some_and(|leader| leader.resigned),
             own_past: leader.is_some_and(|leader| {
-                leader.holder == self.identity.name && leader.born != self.identity.born
+                leader.holder == self.identity.name
+                    && leader.incarnation != self.identity.incarnation
             }),
         }
     }
@@ -291,9 +293,9 @@
         }
     }
 
-    fn take_notice(&mut self, notice: Notice, now: Time) {
+    fn take_notice(&mut self, notice: OperatorRecord, now: Time) {
         match notice {
-            Notice::Config(config) => {
+            OperatorRecord::Config(config) => {
                 let known = self.config.as_ref().map_or(0, |config| config.version);
                 if config.version <= known {
                     return;
@@ -314,7 +316,7 @@
                     .push(front::Notice::Config(Arc::clone(&config)));
                 self.config = Some(config);
             }
-            Notice::Wave {
+            OperatorRecord::Wave {
                 number,
                 hosts,
                 duration,
--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -116,7 +116,7 @@
         Record::Leader(Leader {
             epoch,
             holder: Arc::clone(&self.identity.name),
-            born: self.identity.born,
+            incarnation: self.identity.incarnation,
             resigned,
             runs_until: self.runs_until(),
             capacity: self.identity.capacity,
@@ -144,10 +144,10 @@
         let succession = Succession {
             epoch: claim.epoch,
             runs_until: self.runs_until(),
-            hosts: self.book.ordered().clone(),
+            hosts: self.book.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, succession, config, now);
-        engine.learn(self.book.turns(), now);
+        engine.learn(self.book.demand(), now);
         for listed in self.runners.values() {
             engine.list(runner::Change::Set(listed.clone()), now);
         }
--- a/crates/control/src/front/exchange.rs
+++ b/crates/control/src/front/exchange.rs
@@ -207,7 +207,7 @@
         let job = Job {
             id,
             queue: Arc::clone(&queue.name),
-            terms: queue.terms.clone(),
+            policy: queue.terms.clone(),
             specification: specification.into(),
             steps: steps.into(),
             repeat,
@@ -218,7 +218,7 @@
 
     /// Asks the thread that decides, and waits as long as the caller does.
     async fn ask(&self, query: Query, call: &Call, started: Time) -> Reply {
-        let patience = call.patience.unwrap_or(PATIENCE).saturating_sub(RESERVE);
+        let patience = call.timeout.unwrap_or(PATIENCE).saturating_sub(RESERVE);
         let left = patience.saturating_sub(self.clock.now().since(started));
         let caller = self.next.get();
         self.next.set(caller + 1);
--- a/crates/control/src/port/dialect.rs
+++ b/crates/control/src/port/dialect.rs
@@ -11,7 +11,7 @@
     Id,
     Repeat,
     Step,
-    book::State, //
+    replica::State, //
 };
 
 /// What a caller wants of a path.
@@ -46,7 +46,7 @@
     /// Path that the caller used.
     pub path: String,
     /// How long the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// Why a request was not done.
--- a/crates/control/src/port/log.rs
+++ b/crates/control/src/port/log.rs
@@ -105,7 +105,7 @@
 
 /// What an operator's record says.
 #[derive(Clone, Debug)]
-pub enum Notice {
+pub enum OperatorRecord {
     /// A configuration.
     Config(Arc<Config>),
     /// A maintenance wave.
@@ -150,7 +150,7 @@
     /// # Errors
     ///
     /// Names the field that is not allowed.
-    fn notice(item: &Item) -> Result<Option<Notice>, String>;
+    fn operator_record(item: &Item) -> Result<Option<OperatorRecord>, String>;
 
     /// Decodes a record of the service list.
     ///
--- a/crates/control/src/port/mod.rs
+++ b/crates/control/src/port/mod.rs
@@ -17,7 +17,7 @@
     AppendError,
     Item,
     Log,
-    Notice,
+    OperatorRecord,
     Page,
     Producer,
     ReadError,
--- a/crates/control/src/process/process.rs
+++ b/crates/control/src/process/process.rs
@@ -145,7 +145,7 @@
         let store = Store {
             platform: platform.clone(),
             name: Arc::clone(&settings.name),
-            born: identity.born,
+            born: identity.incarnation,
             requests,
             signal: store_signal,
             events: event_sender,
--- a/crates/control/src/process/settings.rs
+++ b/crates/control/src/process/settings.rs
@@ -26,7 +26,7 @@
     /// Time for which the state of an ended job is kept.
     pub retention: Duration,
     /// Times of the leadership.
-    pub lead: sassafrascrank_lead::Rules,
+    pub lead: sassafrascrank_lead::Timing,
     /// Times and limits of the scheduler.
     pub rules: sassafrascrank_schedule::Rules,
 }
@@ -41,7 +41,7 @@
     pub(super) fn identity(&self, wall: Time) -> Identity {
         Identity {
             name: Arc::clone(&self.name),
-            born: wall.as_micros(),
+            incarnation: wall.as_micros(),
             capacity: self.capacity,
         }
     }
--- a/crates/control/src/store/message.rs
+++ b/crates/control/src/store/message.rs
@@ -1,7 +1,7 @@
 //! Messages between the thread and the one that decides.
 
 use crate::port::{
-    Notice,
+    OperatorRecord,
     Topic, //
 };
 use sassafrascrank_base::prelude::*;
@@ -71,7 +71,7 @@
         last: bool,
     },
     /// Records of operators.
-    Operator(Vec<Notice>),
+    Operator(Vec<OperatorRecord>),
     /// Records of the service list.
     Runners {
         /// The changes.
--- a/crates/control/src/store/tail.rs
+++ b/crates/control/src/store/tail.rs
@@ -9,7 +9,7 @@
     port::{
         Item,
         Log,
-        Notice,
+        OperatorRecord,
         Page,
         ReadError,
         Topic, //
@@ -137,10 +137,10 @@
     outlet.send(event).await;
 }
 
-fn notices<L: Log>(items: &[Item], skipped: &mut Vec<String>) -> Vec<Notice> {
+fn notices<L: Log>(items: &[Item], skipped: &mut Vec<String>) -> Vec<OperatorRecord> {
     let mut notices = Vec::new();
     for item in items {
-        match L::notice(item) {
+        match L::operator_record(item) {
             Ok(notice) => notices.extend(notice),
             Err(reason) => skipped.push(reason),
         }
--- a/crates/control/tests/lane.rs
+++ b/crates/control/tests/lane.rs
@@ -7,7 +7,7 @@
         AppendError,
         Item,
         Log,
-        Notice,
+        OperatorRecord,
         Page,
         Producer,
         ReadError,
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    fn notice(_: &Item) -> Result<Option<Notice>, String> {
+    fn operator_record(_: &Item) -> Result<Option<OperatorRecord>, String> {
         Ok(None)
     }
 
--- a/crates/control/tests/reads.rs
+++ b/crates/control/tests/reads.rs
@@ -22,8 +22,8 @@
 use sassafrascrank_job::{
     Id,
     Job,
-    Record,
-    Terms, //
+    Policy,
+    Record, //
 };
 use sassafrascrank_schedule::Config;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 fn entry() -> Control {
     let identity = Identity {
         name: "entry".into(),
-        born: 1,
+        incarnation: 1,
         capacity: 250,
     };
     Control::new(
@@ -62,7 +62,7 @@
     Job {
         id: JOB,
         queue: "queue".into(),
-        terms: Terms {
+        policy: Policy {
             pool: "pool".into(),
             priority: 0,
             attempts: 1,
@@ -124,7 +124,7 @@
         version: 1,
         ..Config::default()
     };
-    let config = port::Notice::Config(Arc::new(config));
+    let config = port::OperatorRecord::Config(Arc::new(config));
     control.take_event(Event::Operator(vec![config]), START);
     control.tick(START, START);
     let ready = |control: &mut Control| {
--- a/crates/control/tests/world/entry.rs
+++ b/crates/control/tests/world/entry.rs
@@ -91,11 +91,11 @@
         self.life += 1;
         let identity = Identity {
             name: format!("entry-{}", self.index).into(),
-            born: now.as_micros() + self.life,
+            incarnation: now.as_micros() + self.life,
             // The last entry takes the role from the others while they order.
             capacity: if self.index == 2 { 500 } else { 250 },
         };
-        let lead = sassafrascrank_lead::Rules::default();
+        let lead = sassafrascrank_lead::Timing::default();
         let mut rules = Rules::default();
         if !self.plan.waits {
             rules.tenure = Duration::ZERO;
@@ -119,7 +119,7 @@
         let life = self.entries[index].life;
         let config = self.config.clone();
         self.with(index, |control| {
-            let notices = vec![port::Notice::Config(config)];
+            let notices = vec![port::OperatorRecord::Config(config)];
             control.take_event(store::Event::Operator(notices), now);
         });
         self.push_after(1, 20, Event::Read(index, life));
--- a/crates/control/tests/world/mod.rs
+++ b/crates/control/tests/world/mod.rs
@@ -210,7 +210,7 @@
             job: Arc::new(Job {
                 id: Id(index as u64 + 1),
                 queue: "orders".into(),
-                terms: terms(),
+                policy: terms(),
                 specification: "text".into(),
                 steps: all.into(),
                 repeat: None,
@@ -293,8 +293,8 @@
     }
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Policy {
+    Policy {
         pool: "pool".into(),
         priority: 0,
         attempts: 3,
--- a/crates/control/tests/world/verdict.rs
+++ b/crates/control/tests/world/verdict.rs
@@ -3,8 +3,8 @@
 use super::World;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::{
-    book::State,
-    progress::Outcome, //
+    progress::Outcome,
+    replica::State, //
 };
 use sassafrascrank_standin::cluster::Interval;
 use std::collections::BTreeMap;
--- a/crates/job/src/model/job.rs
+++ b/crates/job/src/model/job.rs
@@ -22,7 +22,7 @@
 
 /// What the configuration said of a queue when a job was submitted. It serves jobs whose queue is removed later.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Terms {
+pub struct Policy {
     /// Name of the pool whose runners run the tasks.
     pub pool: Arc<str>,
     /// Urgency; 0 comes first.
@@ -43,7 +43,7 @@
     /// Name of the queue that it was submitted to.
     pub queue: Arc<str>,
     /// What the configuration said of the queue.
-    pub terms: Terms,
+    pub policy: Policy,
     /// Text that is handed to each task.
     pub specification: Arc<str>,
     /// Steps, each after those that it names.
@@ -71,13 +71,13 @@
     }
 
     /// Returns the number of tasks of one occurrence.
-    pub fn width(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         self.steps.iter().map(|step| usize::from(step.count)).sum()
     }
 
     /// Tells whether any task runs until the job is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 
     /// Returns when an occurrence is due by the time of day, or `None` if it is due at once.
--- a/crates/job/src/model/mod.rs
+++ b/crates/job/src/model/mod.rs
@@ -7,8 +7,8 @@
 pub use check::Error;
 pub use job::{
     Job,
-    Repeat,
-    Terms, //
+    Policy,
+    Repeat, //
 };
 pub use step::{
     Resource,
--- a/crates/job/src/model/step.rs
+++ b/crates/job/src/model/step.rs
@@ -74,28 +74,32 @@
     /// Label that the runner must have.
     pub label: Option<Box<str>>,
     /// Rack that holds the data.
-    pub rack: Option<Box<str>>,
+    pub data_rack: Option<Box<str>>,
     /// Most tasks of one occurrence of the step on one runner.
-    pub spread: Option<u16>,
+    pub max_per_runner: Option<u16>,
     /// A second attempt may run beside the first one.
     pub speculative: bool,
     /// The tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// What the tasks run; tasks of one image behave alike.
     pub image: Option<Box<str>>,
     /// Bound on the tail of the response times of a serving task.
     pub target: Option<Duration>,
     /// The tasks use processor time that others leave, which is not counted.
-    pub fills: bool,
+    pub uses_spare_cpu: bool,
     /// Tasks that may be away at the same time because of the system's own actions.
-    pub may_miss: Option<u16>,
+    pub max_unavailable: Option<u16>,
 }
 
 impl Step {
     /// Returns what a task takes of a runner's capacity.
-    pub fn counted(&self) -> Resource {
+    pub fn reserved(&self) -> Resource {
         Resource {
-            cpu: if self.fills { 0 } else { self.need.cpu },
+            cpu: if self.uses_spare_cpu {
+                0
+            } else {
+                self.need.cpu
+            },
             ..self.need
         }
     }
--- a/crates/job/src/progress/progress.rs
+++ b/crates/job/src/progress/progress.rs
@@ -24,7 +24,7 @@
     /// Identity of the runner.
     pub runner: Arc<str>,
     /// Start of this life of the runner.
-    pub born: u64,
+    pub incarnation: u64,
     /// Host of the runner; a later life there shows that this one is over.
     pub host: Arc<str>,
     /// Attempt that was ordered there.
--- a/crates/job/src/record/lead.rs
+++ b/crates/job/src/record/lead.rs
@@ -1,10 +1,10 @@
 //! Serialised records of the leader's own state.
 
 use super::{
+    Demand,
+    HostOrder,
     Leader,
-    Ordered,
-    Turn,
-    Turns,
+    PoolDemand,
     Wave,
     wire::millis, //
 };
@@ -59,7 +59,7 @@
         Self {
             epoch: leader.epoch,
             holder: leader.holder.to_string(),
-            born: leader.born,
+            born: leader.incarnation,
             resigned: leader.resigned,
             runs_until: leader.runs_until.as_micros(),
             capacity: leader.capacity,
@@ -72,7 +72,7 @@
         Self {
             epoch: wire.epoch,
             holder: wire.holder.into(),
-            born: wire.born,
+            incarnation: wire.born,
             resigned: wire.resigned,
             runs_until: Time::from_micros(wire.runs_until),
             capacity: wire.capacity,
@@ -101,12 +101,12 @@
     }
 }
 
-impl From<&Turns> for WireTurns {
-    fn from(turns: &Turns) -> Self {
-        let row = |turn: &Turn| WireTurn {
+impl From<&Demand> for WireTurns {
+    fn from(turns: &Demand) -> Self {
+        let row = |turn: &PoolDemand| WireTurn {
             pool: turn.pool.to_string(),
             mean: turn.mean,
-            usual: turn.usual,
+            usual: turn.usual_hosts,
             next: turn
                 .next
                 .as_ref()
@@ -123,12 +123,12 @@
     }
 }
 
-impl From<WireTurns> for Turns {
+impl From<WireTurns> for Demand {
     fn from(wire: WireTurns) -> Self {
-        let row = |turn: WireTurn| Turn {
+        let row = |turn: WireTurn| PoolDemand {
             pool: turn.pool.into(),
             mean: turn.mean,
-            usual: turn.usual,
+            usual_hosts: turn.usual,
             next: turn
                 .next
                 .map(|(pool, after)| (pool.into(), Duration::from_millis(after))),
@@ -143,8 +143,8 @@
     }
 }
 
-impl From<&Ordered> for WireOrdered {
-    fn from(ordered: &Ordered) -> Self {
+impl From<&HostOrder> for WireOrdered {
+    fn from(ordered: &HostOrder) -> Self {
         Self {
             epoch: ordered.epoch,
             at: ordered.at.as_micros(),
@@ -153,8 +153,8 @@
 }
 
 impl WireOrdered {
-    pub(super) fn with_host(self, host: &str) -> Ordered {
-        Ordered {
+    pub(super) fn with_host(self, host: &str) -> HostOrder {
+        HostOrder {
             epoch: self.epoch,
             host: host.into(),
             at: Time::from_micros(self.at),
--- a/crates/job/src/record/mod.rs
+++ b/crates/job/src/record/mod.rs
@@ -5,11 +5,11 @@
 mod wire;
 
 pub use record::{
+    Demand,
+    HostOrder,
     Leader,
-    Ordered,
+    PoolDemand,
     Record,
-    Turn,
-    Turns,
     Wave, //
 };
 pub use wire::{
--- a/crates/job/src/record/record.rs
+++ b/crates/job/src/record/record.rs
@@ -16,7 +16,7 @@
     /// Name of the entry.
     pub holder: Arc<str>,
     /// Start of the entry process, microseconds since the Unix epoch.
-    pub born: u64,
+    pub incarnation: u64,
     /// The leader gives up its role.
     pub resigned: bool,
     /// Until then, runs of earlier leaders may go on at runners that don't answer.
@@ -44,7 +44,7 @@
 /// A host that the leader orders. Each host has a key of its own, so that the log holds the latest order of each and an
 /// order takes few bytes.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ordered {
+pub struct HostOrder {
     /// Epoch of the leader that wrote it.
     pub epoch: u64,
     /// Name of the host.
@@ -55,24 +55,24 @@
 
 /// What a leader has learned of the demand on one pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Turn {
+pub struct PoolDemand {
     /// Name of the pool.
     pub pool: Arc<str>,
     /// Long-run mean of the submitted work, in thousandths of a core.
     pub mean: f64,
     /// Hosts that its turns usually need.
-    pub usual: Option<f64>,
+    pub usual_hosts: Option<f64>,
     /// The pool whose turn follows, and how long after the beginning of this one.
     pub next: Option<(Arc<str>, Duration)>,
 }
 
 /// What a leader has learned of the demand on the pools.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Turns {
+pub struct Demand {
     /// Epoch of the leader that wrote it.
     pub epoch: u64,
     /// One row for each pool.
-    pub pools: Vec<Turn>,
+    pub pools: Vec<PoolDemand>,
     /// The pool whose turn began last, and when.
     pub latest: Option<(Arc<str>, Time)>,
 }
@@ -91,9 +91,9 @@
     /// The leader writes how far a wave is.
     Wave(Wave),
     /// The leader writes which hosts it orders, before it does.
-    Ordered(Ordered),
+    HostOrder(HostOrder),
     /// The leader writes what it has learned of the demand.
-    Turns(Turns),
+    Demand(Demand),
     /// A job is no longer kept.
     Forget(Id),
 }
--- a/crates/job/src/record/wire.rs
+++ b/crates/job/src/record/wire.rs
@@ -10,7 +10,7 @@
     },
 };
 use crate::{
-    Id, Job, Progress, Repeat, Resource, Step, Terms,
+    Id, Job, Policy, Progress, Repeat, Resource, Step,
     id::Position,
     progress::{
         self,
@@ -113,11 +113,11 @@
                 pack(&WireWave::from(wave)),
             )
         }
-        Record::Ordered(ordered) => (
+        Record::HostOrder(ordered) => (
             format!("h{}", ordered.host),
             pack(&WireOrdered::from(ordered)),
         ),
-        Record::Turns(turns) => (TURNS_KEY.to_owned(), pack(&WireTurns::from(turns))),
+        Record::Demand(turns) => (TURNS_KEY.to_owned(), pack(&WireTurns::from(turns))),
         Record::Forget(id) => (format!("j{id}"), Vec::new()),
     }
 }
@@ -132,7 +132,7 @@
         return Ok(Record::Leader(unpack::<WireLeader>(key, value)?.into()));
     }
     if key == TURNS_KEY {
-        return Ok(Record::Turns(unpack::<WireTurns>(key, value)?.into()));
+        return Ok(Record::Demand(unpack::<WireTurns>(key, value)?.into()));
     }
     let unknown = || Error::Key(key.chars().take(40).collect());
     let (kind, name) = key.split_at_checked(1).ok_or_else(unknown)?;
@@ -144,7 +144,7 @@
     }
     if kind == "h" {
         let wire: WireOrdered = unpack(key, value)?;
-        return Ok(Record::Ordered(wire.with_host(name)));
+        return Ok(Record::HostOrder(wire.with_host(name)));
     }
     let id = Id::try_from(name).map_err(|_| unknown())?;
     match kind {
@@ -195,14 +195,14 @@
                 | bit(step.gang, GANG)
                 | bit(step.coupled, COUPLED)
                 | bit(step.speculative, SPECULATIVE)
-                | bit(step.lasting, LASTING)
-                | bit(step.fills, FILLS),
+                | bit(step.long_running, LASTING)
+                | bit(step.uses_spare_cpu, FILLS),
             label: step.label.clone(),
-            rack: step.rack.clone(),
-            spread: step.spread,
+            rack: step.data_rack.clone(),
+            spread: step.max_per_runner,
             image: step.image.clone(),
             target: step.target.map(millis),
-            may_miss: step.may_miss,
+            may_miss: step.max_unavailable,
         }
     }
 }
@@ -219,14 +219,14 @@
             gang: has(GANG),
             coupled: has(COUPLED),
             label: wire.label,
-            rack: wire.rack,
-            spread: wire.spread,
+            data_rack: wire.rack,
+            max_per_runner: wire.spread,
             speculative: has(SPECULATIVE),
-            lasting: has(LASTING),
+            long_running: has(LASTING),
             image: wire.image,
             target: wire.target.map(Duration::from_millis),
-            fills: has(FILLS),
-            may_miss: wire.may_miss,
+            uses_spare_cpu: has(FILLS),
+            max_unavailable: wire.may_miss,
         }
     }
 }
@@ -240,11 +240,11 @@
         Self {
             queue: job.queue.to_string(),
             terms: (
-                job.terms.pool.to_string(),
-                job.terms.priority,
-                job.terms.attempts,
-                job.terms.stretch,
-                millis(job.terms.target),
+                job.policy.pool.to_string(),
+                job.policy.priority,
+                job.policy.attempts,
+                job.policy.stretch,
+                millis(job.policy.target),
             ),
             specification: job.specification.to_string(),
             steps: job.steps.iter().map(WireStep::from).collect(),
@@ -260,7 +260,7 @@
         Job {
             id,
             queue: self.queue.into(),
-            terms: Terms {
+            policy: Policy {
                 pool: pool.into(),
                 priority,
                 attempts,
@@ -288,7 +288,7 @@
         } = task.position;
         let place = |at: &Assignment| {
             let host = at.host.to_string();
-            (at.runner.to_string(), at.born, host, at.attempt)
+            (at.runner.to_string(), at.incarnation, host, at.attempt)
         };
         Self {
             position: (occurrence, step, index),
@@ -306,7 +306,7 @@
         let (occurrence, step, index) = wire.position;
         let place = |(runner, born, host, attempt): (String, u64, String, u32)| Assignment {
             runner: runner.into(),
-            born,
+            incarnation: born,
             host: host.into(),
             attempt,
         };
--- a/crates/job/src/book/mod.rs
+++ b/crates/job/src/replica/mod.rs
@@ -1,14 +1,14 @@
 //! The fold of the log's records.
 
-mod book;
 mod entry;
+mod replica;
 
-pub use book::{
-    Book,
-    Change,
-    State, //
-};
 pub use entry::{
     Entry,
     Key, //
 };
+pub use replica::{
+    Change,
+    Replica,
+    State, //
+};
--- a/crates/job/src/book/book.rs
+++ b/crates/job/src/replica/replica.rs
@@ -8,8 +8,8 @@
     Id, Progress, Record,
     progress::Outcome,
     record::{
+        Demand,
         Leader,
-        Turns,
         Wave, //
     },
 };
@@ -55,7 +55,7 @@
 
 /// The fold of the log's records up to some offset.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Replica {
     jobs: SlotMap<Key, Entry>,
     index: HashMap<Id, Key>,
     /// Number of jobs by queue of which no task has been ordered.
@@ -63,11 +63,11 @@
     leader: Option<Leader>,
     waves: BTreeMap<u64, Wave>,
     /// When each host was last ordered.
-    ordered: HashMap<Arc<str>, Time>,
-    turns: Turns,
+    host_orders: HashMap<Arc<str>, Time>,
+    demand: Demand,
 }
 
-impl Book {
+impl Replica {
     /// Folds the record at `offset`, which was read at `now`.
     pub fn apply(&mut self, offset: u64, record: Record, now: Time) -> Change {
         match record {
@@ -116,13 +116,13 @@
                 }
                 Change::Waved(number)
             }
-            Record::Ordered(ordered) => {
-                self.ordered.insert(ordered.host, ordered.at);
+            Record::HostOrder(order) => {
+                self.host_orders.insert(order.host, order.at);
                 Change::None
             }
-            Record::Turns(turns) => {
-                if turns.epoch >= self.turns.epoch {
-                    self.turns = turns;
+            Record::Demand(demand) => {
+                if demand.epoch >= self.demand.epoch {
+                    self.demand = demand;
                 }
                 Change::None
             }
@@ -172,13 +172,13 @@
     }
 
     /// Returns when leaders last ordered each host.
-    pub fn ordered(&self) -> &HashMap<Arc<str>, Time> {
-        &self.ordered
+    pub fn host_orders(&self) -> &HashMap<Arc<str>, Time> {
+        &self.host_orders
     }
 
     /// Returns what the latest leader had learned of the demand.
-    pub fn turns(&self) -> &Turns {
-        &self.turns
+    pub fn demand(&self) -> &Demand {
+        &self.demand
     }
 
     /// Returns jobs whose end was read before `limit`, at most `count`.
--- a/crates/lead/src/lib.rs
+++ b/crates/lead/src/lib.rs
@@ -6,6 +6,6 @@
 pub mod seat;
 
 pub use seat::{
-    Rules,
-    Seat, //
+    Seat,
+    Timing, //
 };
--- a/crates/lead/src/seat/mod.rs
+++ b/crates/lead/src/seat/mod.rs
@@ -3,7 +3,7 @@
 mod rules;
 mod seat;
 
-pub use rules::Rules;
+pub use rules::Timing;
 pub use seat::{
     Claim,
     Heard,
--- a/crates/lead/src/seat/rules.rs
+++ b/crates/lead/src/seat/rules.rs
@@ -4,14 +4,14 @@
 
 /// Times of the leadership; they are equal at all entries of a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct Timing {
     /// Time without a record of the leader, spent reading, after which another entry claims. It has to cover an
     /// append and a read on a log that is slow: about 0.6 s when its answers take 60 times as long.
     pub silence: Duration,
     /// The same time after the log was away for longer than a tenure: a leader that lives appends as soon as it can.
     pub regained: Duration,
     /// Time after the start of its last confirmed append for which a leader orders and renews leases.
-    pub tenure: Duration,
+    pub lease: Duration,
     /// Time after which a leader without other records appends one.
     pub pulse: Duration,
     /// Spread of claims, so that entries don't claim at once.
@@ -33,12 +33,12 @@
 /// the other duties do, and a leader that is short of it delays every start.
 pub(super) const OUTRANKS: u32 = 2;
 
-impl Default for Rules {
+impl Default for Timing {
     fn default() -> Self {
         Self {
             silence: Duration::from_millis(1_500),
             regained: Duration::from_millis(700),
-            tenure: Duration::from_millis(2_500),
+            lease: Duration::from_millis(2_500),
             pulse: Duration::from_millis(400),
             stagger: Duration::from_millis(300),
             freshness: Duration::from_millis(700),
--- a/crates/lead/src/seat/seat.rs
+++ b/crates/lead/src/seat/seat.rs
@@ -1,7 +1,7 @@
 //! When an entry claims, and when a leader may order.
 
 use super::{
-    Rules,
+    Timing,
     rules::OUTRANKS, //
 };
 use sassafrascrank_base::prelude::*;
@@ -56,7 +56,7 @@
 /// The seat of the leader, as one entry sees it.
 #[derive(Clone, Debug)]
 pub struct Seat {
-    rules: Rules,
+    rules: Timing,
     /// Differs between processes; breaks ties.
     identity: u64,
     /// Processor of this entry in thousandths of a core.
@@ -81,7 +81,7 @@
 
 impl Seat {
     /// Makes the seat of a process that has read nothing yet.
-    pub fn new(rules: Rules, identity: u64, capacity: u32, now: Time) -> Self {
+    pub fn new(rules: Timing, identity: u64, capacity: u32, now: Time) -> Self {
         Self {
             rules,
             identity,
@@ -144,7 +144,7 @@
         }
         self.heard = Some(heard);
         // After an outage the first records are from before it, as far as is known.
-        let away = self.read_at > Time::MIN && now.since(self.read_at) > self.rules.tenure;
+        let away = self.read_at > Time::MIN && now.since(self.read_at) > self.rules.lease;
         self.heard_at = self.heard_at.max(if away { self.read_at } else { now });
         match self.role {
             Role::Leader { epoch } | Role::Candidate { epoch } if heard.epoch > epoch => {
@@ -190,7 +190,7 @@
             return false;
         }
         let start = since.max(self.heard_at);
-        let away = since > self.heard_at + self.rules.tenure;
+        let away = since > self.heard_at + self.rules.lease;
         now >= start + self.patience(away) || self.outranks(since, now)
     }
 
@@ -226,7 +226,7 @@
 
     /// Tells whether a leader may order and renew leases.
     pub fn may_order(&self, now: Time) -> bool {
-        self.leading().is_some() && now <= self.confirmed + self.rules.tenure
+        self.leading().is_some() && now <= self.confirmed + self.rules.lease
     }
 
     /// Tells whether a leader has to append a record, although nothing has changed.
--- a/crates/lead/tests/seat.rs
+++ b/crates/lead/tests/seat.rs
@@ -2,7 +2,7 @@
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_lead::{
-    Rules, Seat,
+    Seat, Timing,
     seat::{
         Claim,
         Heard, //
@@ -25,7 +25,7 @@
 
 /// Returns after how many milliseconds an entry of `capacity` claims that hears `heard` until `silent`.
 fn claims(capacity: u32, heard: Option<Heard>, silent: Duration) -> Option<u128> {
-    let mut seat = Seat::new(Rules::default(), 0, capacity, START);
+    let mut seat = Seat::new(Timing::default(), 0, capacity, START);
     let mut now = START;
     while now < START + Duration::from_secs(10) {
         seat.read(true, now, now);
@@ -92,7 +92,7 @@
 /// Guards against entries that take a role back and forth: one that was replaced is not larger than its successor.
 #[test]
 fn replaced_leader_stays_follower() {
-    let mut small = Seat::new(Rules::default(), 0, 120, START);
+    let mut small = Seat::new(Timing::default(), 0, 120, START);
     small.read(true, START, START);
     let now = START + Duration::from_millis(900);
     small.read(true, now, now);
@@ -114,7 +114,7 @@
 /// Guards against a claim by an entry that has not read the claim of another one, which takes the role from it at once.
 #[test]
 fn claim_of_another_entry_is_looked_for_first() {
-    let mut seat = Seat::new(Rules::default(), 0, 250, START);
+    let mut seat = Seat::new(Timing::default(), 0, 250, START);
     let resigned = Heard {
         resigned: true,
         ..record(1 << 16, 250)
@@ -130,7 +130,7 @@
 /// Guards against followers that take records from before an outage, which they read after it, for a sign of life.
 #[test]
 fn records_from_before_an_outage_are_no_sign_of_life() {
-    let mut seat = Seat::new(Rules::default(), 0, 250, START);
+    let mut seat = Seat::new(Timing::default(), 0, 250, START);
     seat.read(true, START, START);
     seat.hear(record(1 << 16, 250), START);
     let back = START + Duration::from_secs(6);
@@ -143,7 +143,7 @@
         now = now + READ;
     }
     assert!(
-        now.since(back) < Rules::default().silence,
+        now.since(back) < Timing::default().silence,
         "{:?}",
         now.since(back)
     );
@@ -167,7 +167,7 @@
         ("after a restart", own_past),
         ("much smaller leader", record(1 << 16, 60)),
     ] {
-        let mut seat = Seat::new(Rules::default(), 0, 250, START);
+        let mut seat = Seat::new(Timing::default(), 0, 250, START);
         let mut now = START;
         let mut claims = Vec::new();
         while now < START + Duration::from_secs(4) {
--- a/crates/schedule/examples/scale.rs
+++ b/crates/schedule/examples/scale.rs
@@ -136,7 +136,7 @@
     Job {
         id: Id(id),
         queue: "queue".into(),
-        terms: Terms {
+        policy: Policy {
             pool: pool(id as usize % (POOLS - 1)),
             priority: 0,
             attempts: 2,
--- a/crates/schedule/src/config/config.rs
+++ b/crates/schedule/src/config/config.rs
@@ -1,6 +1,6 @@
 //! Queues and pools as operators configure them.
 
-use sassafrascrank_job::Terms;
+use sassafrascrank_job::Policy;
 use std::sync::Arc;
 
 /// A queue of jobs.
@@ -13,7 +13,7 @@
     /// Path that callers use, without the job's identity.
     pub path: Box<str>,
     /// Pool, urgency, attempts and objective.
-    pub terms: Terms,
+    pub terms: Policy,
     /// Runners of the queue's tasks have to be approved by the advice service.
     pub advised: bool,
 }
--- a/crates/schedule/src/config/rules.rs
+++ b/crates/schedule/src/config/rules.rs
@@ -11,7 +11,7 @@
     /// Lease of a start on a runner that runs nothing, until the first look renews it. A start without an answer on
     /// a host that has just failed is then in doubt only briefly.
     pub first_lease: Duration,
-    /// Time after its last confirmed append for which a leader renews; see `lead::Rules::tenure`.
+    /// Time after its last confirmed append for which a leader renews; see `lead::Timing::lease`.
     pub tenure: Duration,
     /// Slowness of a runner's clock, in thousandths.
     pub drift: u32,
--- a/crates/schedule/src/engine/admit.rs
+++ b/crates/schedule/src/engine/admit.rs
@@ -63,7 +63,7 @@
 
     /// Adds a job without occurrences.
     pub(super) fn insert(&mut self, job: Arc<Job>) -> work::Key {
-        let queue = self.intern_queue(&job.queue, &job.terms);
+        let queue = self.intern_queue(&job.queue, &job.policy);
         let id = job.id;
         let key = self.works.insert(Work {
             job,
@@ -394,7 +394,7 @@
 
 /// Returns the class of a step's tasks in the order of its pool.
 fn class(priority: u8, step: &Step) -> u8 {
-    let later = u8::from(!step.lasting) + u8::from(step.fills);
+    let later = u8::from(!step.long_running) + u8::from(step.uses_spare_cpu);
     priority.saturating_mul(3).saturating_add(later)
 }
 
--- a/crates/schedule/src/engine/advice.rs
+++ b/crates/schedule/src/engine/advice.rs
@@ -48,7 +48,7 @@
             return;
         }
         let shape = &work.job.steps[usize::from(step.step)];
-        let need = shape.counted();
+        let need = shape.reserved();
         let wanted = usize::from(shape.count) * 3;
         let runners = self.pools[queue.pool].runners.iter().copied();
         let mut open: Vec<runner::Key> = runners
--- a/crates/schedule/src/engine/balance.rs
+++ b/crates/schedule/src/engine/balance.rs
@@ -68,19 +68,19 @@
 impl Engine {
     /// Notes the work of a job that was just submitted.
     pub(super) fn expect_work(&mut self, job: &Job, now: Time) {
-        let queue = self.intern_queue(&job.queue, &job.terms);
+        let queue = self.intern_queue(&job.queue, &job.policy);
         let pool = self.queues[queue].pool;
-        let steps = job.steps.iter().filter(|step| !step.lasting);
+        let steps = job.steps.iter().filter(|step| !step.long_running);
         let work = |step: &Step| {
             let time = step.estimate.as_millis() as f64 * f64::from(step.count);
-            Amount::new(step.counted(), time)
+            Amount::new(step.reserved(), time)
         };
         let mut amount = Amount::default();
         for step in steps.clone() {
             amount += work(step);
         }
         let parts = steps.flat_map(|step| {
-            let labels = step.label.iter().chain(&step.rack);
+            let labels = step.label.iter().chain(&step.data_rack);
             labels.map(move |label| (&**label, work(step).cpu))
         });
         self.fleet.demand.submit(pool, amount, parts, now);
@@ -181,7 +181,7 @@
         let Some(shape) = self.shape(task) else {
             return Resource::default();
         };
-        let need = shape.counted();
+        let need = shape.reserved();
         let mut hosts = self.fleet.hosts.values();
         let runnable = hosts.any(|host| host.listed.capacity.fits(Resource::default(), need));
         if runnable { need } else { Resource::default() }
@@ -303,8 +303,8 @@
         let waiting = pool.ready.iter().take(READY_LIMIT).map(|rank| rank.task);
         let mut load: HashMap<&str, Amount> = HashMap::new();
         for shape in running.chain(waiting).filter_map(|task| self.shape(task)) {
-            for label in shape.label.iter().chain(&shape.rack) {
-                *load.entry(label).or_default() += Amount::new(shape.counted(), 1.0);
+            for label in shape.label.iter().chain(&shape.data_rack) {
+                *load.entry(label).or_default() += Amount::new(shape.reserved(), 1.0);
             }
         }
         load
@@ -338,7 +338,7 @@
     }
 
     /// Takes what the former leader had learned of the demand.
-    pub fn learn(&mut self, turns: &record::Turns, now: Time) {
+    pub fn learn(&mut self, turns: &record::Demand, now: Time) {
         let mut lessons = Vec::new();
         for turn in &turns.pools {
             let next = turn
@@ -348,7 +348,7 @@
             lessons.push(Lesson {
                 pool: self.intern_pool(&turn.pool),
                 mean: turn.mean,
-                usual: turn.usual,
+                usual: turn.usual_hosts,
                 next,
             });
         }
@@ -358,20 +358,20 @@
     }
 
     /// Returns what was learned of the demand.
-    pub(super) fn turns(&self) -> record::Turns {
+    pub(super) fn turns(&self) -> record::Demand {
         let (lessons, latest) = self.fleet.demand.lessons();
         let name = |key: key::Pool| self.pools.get(key).map(|pool| Arc::clone(&pool.name));
         let row = |lesson: Lesson| {
-            Some(record::Turn {
+            Some(record::PoolDemand {
                 pool: name(lesson.pool)?,
                 mean: lesson.mean,
-                usual: lesson.usual,
+                usual_hosts: lesson.usual,
                 next: lesson
                     .next
                     .and_then(|(pool, after)| Some((name(pool)?, after))),
             })
         };
-        record::Turns {
+        record::Demand {
             epoch: self.epoch,
             pools: lessons.into_iter().filter_map(row).collect(),
             latest: latest.and_then(|(pool, at)| Some((name(pool)?, at))),
--- a/crates/schedule/src/engine/end.rs
+++ b/crates/schedule/src/engine/end.rs
@@ -129,7 +129,7 @@
             return;
         };
         let limit = self.queues[work.queue].attempts;
-        let lasting = work.job.steps[usize::from(task.step)].lasting;
+        let lasting = work.job.steps[usize::from(task.step)].long_running;
         let gang = work.job.steps[usize::from(task.step)].gang;
         let Some(state) = work.task_mut(task.occurrence, task.step, task.index) else {
             return;
--- a/crates/schedule/src/engine/engine.rs
+++ b/crates/schedule/src/engine/engine.rs
@@ -26,7 +26,7 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::{
     Id,
-    Terms, //
+    Policy, //
 };
 use slotmap::SlotMap;
 use std::{
@@ -182,7 +182,7 @@
             .or_insert_with(|| pools.insert(Pool::new(Arc::clone(name))))
     }
 
-    pub(super) fn intern_queue(&mut self, name: &Arc<str>, terms: &Terms) -> key::Queue {
+    pub(super) fn intern_queue(&mut self, name: &Arc<str>, terms: &Policy) -> key::Queue {
         if let Some(&key) = self.queue_index.get(name) {
             return key;
         }
--- a/crates/schedule/src/engine/evict.rs
+++ b/crates/schedule/src/engine/evict.rs
@@ -42,7 +42,7 @@
         let Some(shape) = self.shape(run.task) else {
             return false;
         };
-        if !shape.lasting || run.stage != Stage::Running {
+        if !shape.long_running || run.stage != Stage::Running {
             return false;
         }
         // Ends at a runner that drains don't count against the budget.
@@ -57,7 +57,7 @@
         let Some(shape) = self.shape(run.task) else {
             return false;
         };
-        let Some(budget) = shape.may_miss else {
+        let Some(budget) = shape.max_unavailable else {
             return true;
         };
         self.away(run, now) < usize::from(budget)
@@ -97,7 +97,7 @@
     pub(super) fn is_clearable(&self, key: runner::Key, now: Time) -> bool {
         self.runners[key].runs.iter().all(|&run| {
             let run = &self.runs[run];
-            let lasting = self.shape(run.task).is_some_and(|step| step.lasting);
+            let lasting = self.shape(run.task).is_some_and(|step| step.long_running);
             !lasting || self.is_spare(run, now)
         })
     }
@@ -107,7 +107,7 @@
         let mut runs = self.runners[key].runs.iter();
         runs.any(|&run| {
             self.shape(self.runs[run].task)
-                .is_some_and(|step| step.lasting)
+                .is_some_and(|step| step.long_running)
         })
     }
 }
--- a/crates/schedule/src/engine/gang.rs
+++ b/crates/schedule/src/engine/gang.rs
@@ -120,11 +120,11 @@
                 let mut whole = runner.used;
                 whole += used;
                 rack.is_none_or(|rack| *runner.rack == *rack)
-                    && shape.spread.is_none_or(|spread| count < spread)
-                    && runner.capacity.fits(whole, shape.counted())
+                    && shape.max_per_runner.is_none_or(|spread| count < spread)
+                    && runner.capacity.fits(whole, shape.reserved())
             })?;
             let entry = taken.entry(place).or_default();
-            entry.0 += shape.counted();
+            entry.0 += shape.reserved();
             entry.1 += 1;
             places.push(place);
         }
--- a/crates/schedule/src/engine/inherit.rs
+++ b/crates/schedule/src/engine/inherit.rs
@@ -17,11 +17,11 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::{
     Progress,
-    book::Entry,
     progress::{
         self,
         Assignment, //
     },
+    replica::Entry,
 };
 use std::sync::Arc;
 
@@ -105,7 +105,7 @@
             return;
         };
         let work = &mut self.works[task.work];
-        let need = work.job.steps[usize::from(task.step)].counted();
+        let need = work.job.steps[usize::from(task.step)].reserved();
         let name = super::run::name(work.job.id, task);
         let run = self.runs.insert(Run {
             task,
@@ -142,10 +142,11 @@
         now: Time,
     ) -> Option<runner::Key> {
         if let Some(&key) = self.runner_index.get(&assignment.runner) {
-            return (self.runners[key].born == assignment.born).then_some(key);
+            return (self.runners[key].born == assignment.incarnation).then_some(key);
         }
-        let later =
-            |runner: &Runner| runner.host == assignment.host && runner.born > assignment.born;
+        let later = |runner: &Runner| {
+            runner.host == assignment.host && runner.born > assignment.incarnation
+        };
         if !assignment.host.is_empty() && self.runners.values().any(later) {
             return None;
         }
@@ -154,7 +155,7 @@
             host: Arc::clone(&assignment.host),
             ..Runner::ghost(
                 Arc::clone(&assignment.runner),
-                assignment.born,
+                assignment.incarnation,
                 pool,
                 self.inherited_until,
                 now,
--- a/crates/schedule/src/engine/look.rs
+++ b/crates/schedule/src/engine/look.rs
@@ -76,7 +76,7 @@
         // Short tasks show in time how they get on.
         let calm = |run: &run::Key| {
             let run = &self.runs[*run];
-            let lasting = self.shape(run.task).is_some_and(|step| step.lasting);
+            let lasting = self.shape(run.task).is_some_and(|step| step.long_running);
             lasting && matches!(run.stage, Stage::Running | Stage::Planned)
         };
         match runner.runs.iter().all(calm) {
--- a/crates/schedule/src/engine/pace.rs
+++ b/crates/schedule/src/engine/pace.rs
@@ -56,7 +56,9 @@
     fn pace_runner(&mut self, key: runner::Key, strain: u64, now: Time) {
         for run in self.runners[key].runs.clone() {
             let known = &self.runs[run];
-            let fills = self.shape(known.task).is_some_and(|step| step.fills);
+            let fills = self
+                .shape(known.task)
+                .is_some_and(|step| step.uses_spare_cpu);
             if !fills || known.stage != Stage::Running || now < known.paced + INTERVAL {
                 continue;
             }
--- a/crates/schedule/src/engine/place.rs
+++ b/crates/schedule/src/engine/place.rs
@@ -121,7 +121,7 @@
         now: Time,
     ) -> Option<runner::Key> {
         let shape = self.shape(task)?;
-        let (need, spread) = (shape.counted(), shape.spread);
+        let (need, spread) = (shape.reserved(), shape.max_per_runner);
         let room = |key, runner: &Runner| {
             runner.fits(need)
                 && spread.is_none_or(|spread| self.count(key, task.step()) < usize::from(spread))
@@ -169,13 +169,13 @@
 
     fn score(&self, step: StepKey, shape: &Step, key: runner::Key, runner: &Runner) -> Score {
         let far = shape
-            .rack
+            .data_rack
             .as_ref()
             .is_some_and(|rack| *runner.rack != **rack);
-        let disturbs =
-            (shape.fills && self.serves(key)) || (shape.target.is_some() && self.fills(key));
-        let mut asked = shape.label.iter().chain(&shape.rack);
-        let together = match shape.lasting {
+        let disturbs = (shape.uses_spare_cpu && self.serves(key))
+            || (shape.target.is_some() && self.fills(key));
+        let mut asked = shape.label.iter().chain(&shape.data_rack);
+        let together = match shape.long_running {
             true => self.count_in_rack(step, &runner.rack),
             false => 0,
         };
@@ -222,7 +222,7 @@
         let mut runs = self.runners[key].runs.iter();
         runs.any(|&run| {
             self.shape(self.runs[run].task)
-                .is_some_and(|step| step.fills)
+                .is_some_and(|step| step.uses_spare_cpu)
         })
     }
 
--- a/crates/schedule/src/engine/run.rs
+++ b/crates/schedule/src/engine/run.rs
@@ -42,7 +42,7 @@
         let work = &mut self.works[task.work];
         work.begun = true;
         let step = &work.job.steps[usize::from(task.step)];
-        let need = step.counted();
+        let need = step.reserved();
         let name = name(work.job.id, task);
         let Some(state) = work.task_mut(task.occurrence, task.step, task.index) else {
             return;
--- a/crates/schedule/src/engine/store.rs
+++ b/crates/schedule/src/engine/store.rs
@@ -57,7 +57,7 @@
         }
         for key in core::mem::take(&mut self.fleet.unnamed) {
             if let Some(host) = self.fleet.hosts.get(key) {
-                records.push(Record::Ordered(record::Ordered {
+                records.push(Record::HostOrder(record::HostOrder {
                     epoch: self.epoch,
                     host: Arc::clone(&host.listed.name),
                     at: host.ordered,
@@ -65,7 +65,7 @@
             }
         }
         if core::mem::take(&mut self.fleet.demand.unstored) {
-            records.push(Record::Turns(self.turns()));
+            records.push(Record::Demand(self.turns()));
         }
         self.storing = Some(core::mem::take(&mut self.effects));
         Some(records)
@@ -158,7 +158,7 @@
             let runner = self.runners.get(run.runner)?;
             Some(Assignment {
                 runner: Arc::clone(&runner.id),
-                born: runner.born,
+                incarnation: runner.born,
                 host: Arc::clone(&runner.host),
                 attempt: run.attempt,
             })
--- a/crates/schedule/src/engine/straggler.rs
+++ b/crates/schedule/src/engine/straggler.rs
@@ -117,7 +117,7 @@
         let (Some(started), Some(work)) = (run.started, self.works.get(run.task.work)) else {
             return;
         };
-        if estimate == 0 || shape.gang || shape.lasting {
+        if estimate == 0 || shape.gang || shape.long_running {
             return;
         }
         let spent = now.since(started);
@@ -168,7 +168,8 @@
         let run = &self.runs[key];
         let shape = self.shape(run.task)?;
         // A gang waits for its members, what fills is slowed down on purpose, and what lasts has no end.
-        let steady = !(shape.gang || shape.fills || shape.lasting || shape.estimate.is_zero());
+        let steady =
+            !(shape.gang || shape.uses_spare_cpu || shape.long_running || shape.estimate.is_zero());
         if !steady || run.stage != Stage::Running {
             return None;
         }
--- a/crates/schedule/tests/engine/balance.rs
+++ b/crates/schedule/tests/engine/balance.rs
@@ -63,7 +63,7 @@
 fn other_tasks_leave_hosts_of_a_wanted_rack_alone() {
     let mut rig = Rig::new(4, 1);
     let near = |count| Step {
-        rack: Some("rack0".into()),
+        data_rack: Some("rack0".into()),
         ..step(count)
     };
     for id in 0..20 {
--- a/crates/schedule/tests/engine/evict.rs
+++ b/crates/schedule/tests/engine/evict.rs
@@ -21,7 +21,7 @@
     rig.submit(
         2,
         vec![Step {
-            lasting: true,
+            long_running: true,
             ..step(1)
         }],
     );
--- a/crates/schedule/tests/engine/fail.rs
+++ b/crates/schedule/tests/engine/fail.rs
@@ -51,7 +51,7 @@
     rig.submit(
         1,
         vec![Step {
-            lasting: true,
+            long_running: true,
             ..step(1)
         }],
     );
--- a/crates/schedule/tests/engine/lease.rs
+++ b/crates/schedule/tests/engine/lease.rs
@@ -9,9 +9,9 @@
 
 fn lasting(count: u16) -> Step {
     Step {
-        lasting: true,
-        spread: Some(1),
-        may_miss: Some(1),
+        long_running: true,
+        max_per_runner: Some(1),
+        max_unavailable: Some(1),
         ..step(count)
     }
 }
@@ -58,7 +58,7 @@
         Some(std::time::Duration::from_millis(millis))
     };
     let spread = Step {
-        spread: Some(1),
+        max_per_runner: Some(1),
         ..step(2)
     };
     rig.submit(
@@ -91,7 +91,7 @@
     rig.work = |_| Some(std::time::Duration::from_millis(2_000));
     let gang = |count| Step {
         gang: true,
-        spread: Some(1),
+        max_per_runner: Some(1),
         ..step(count)
     };
     rig.submit(1, vec![gang(2)]);
--- a/crates/schedule/tests/engine/pace.rs
+++ b/crates/schedule/tests/engine/pace.rs
@@ -15,7 +15,7 @@
     rig.submit(
         1,
         vec![Step {
-            lasting: true,
+            long_running: true,
             target: Some(Duration::from_millis(100)),
             ..step(1)
         }],
@@ -23,8 +23,8 @@
     rig.submit(
         2,
         vec![Step {
-            lasting: true,
-            fills: true,
+            long_running: true,
+            uses_spare_cpu: true,
             ..step(2)
         }],
     );
--- a/crates/schedule/tests/engine/place.rs
+++ b/crates/schedule/tests/engine/place.rs
@@ -50,14 +50,14 @@
     rig.submit(
         2,
         vec![Step {
-            spread: Some(1),
+            max_per_runner: Some(1),
             ..step(3)
         }],
     );
     rig.submit(
         3,
         vec![Step {
-            rack: Some("rack1".into()),
+            data_rack: Some("rack1".into()),
             ..step(1)
         }],
     );
@@ -109,7 +109,7 @@
         ..job(
             1,
             vec![Step {
-                spread: Some(1),
+                max_per_runner: Some(1),
                 ..step(2)
             }],
         )
--- a/crates/schedule/tests/engine/rig/fixture.rs
+++ b/crates/schedule/tests/engine/rig/fixture.rs
@@ -23,7 +23,7 @@
         name: name.into(),
         host: "h".into(),
         path: format!("/{name}/").into(),
-        terms: Terms {
+        terms: Policy {
             priority,
             ..terms(pool)
         },
@@ -46,8 +46,8 @@
 }
 
 /// Returns the terms of a queue of a pool.
-pub(crate) fn terms(pool: &str) -> Terms {
-    Terms {
+pub(crate) fn terms(pool: &str) -> Policy {
+    Policy {
         pool: pool.into(),
         priority: 1,
         attempts: 2,
@@ -61,7 +61,7 @@
     Job {
         id: Id(id),
         queue: "orders".into(),
-        terms: terms("pool"),
+        policy: terms("pool"),
         specification: "text".into(),
         steps: steps.into(),
         repeat: None,
@@ -86,9 +86,9 @@
 /// Returns a step of lasting tasks, one to a runner, of which `may_miss` may be away.
 pub(crate) fn lasting(count: u16, may_miss: u16) -> Step {
     Step {
-        lasting: true,
-        spread: Some(1),
-        may_miss: Some(may_miss),
+        long_running: true,
+        max_per_runner: Some(1),
+        max_unavailable: Some(may_miss),
         ..step(count)
     }
 }
--- a/crates/schedule/tests/engine/rig/rig.rs
+++ b/crates/schedule/tests/engine/rig/rig.rs
@@ -77,7 +77,7 @@
     /// The latest progress of each job, as the log would hold it.
     pub(crate) log: BTreeMap<Id, Arc<Progress>>,
     /// The fold of the log.
-    book: Book,
+    book: Replica,
     rules: Rules,
     epoch: u64,
     /// Addresses of runners to which connections were closed.
@@ -135,7 +135,7 @@
             work: |_| Some(Duration::from_millis(300)),
             fails: |_, _, _| false,
             log: BTreeMap::new(),
-            book: Book::default(),
+            book: Replica::default(),
             rules,
             epoch: EPOCH_OF_FIRST,
             closed: Vec::new(),
@@ -234,7 +234,7 @@
         let succession = Succession {
             epoch: self.epoch,
             runs_until: self.rules.lapse(now + self.rules.tenure),
-            hosts: self.book.ordered().clone(),
+            hosts: self.book.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, succession, &config(), now);
         for site in self.sites.values() {
--- a/crates/tool/src/jobs/host.rs
+++ b/crates/tool/src/jobs/host.rs
@@ -43,7 +43,7 @@
             }
         }
         runs.sort_unstable();
-        let ordered = state.book.ordered().get(name);
+        let ordered = state.book.host_orders().get(name);
         let waves = state.book.waves().values();
         let waves = waves.filter(|wave| wave.begun.iter().any(|host| **host == *name));
         Self {
--- a/crates/tool/src/jobs/job.rs
+++ b/crates/tool/src/jobs/job.rs
@@ -64,7 +64,7 @@
             id: id.to_string(),
             state: word(state, id),
             queue: entry.queue.as_deref().map(str::to_owned),
-            pool: submitted.map(|job| job.terms.pool.to_string()),
+            pool: submitted.map(|job| job.policy.pool.to_string()),
             steps: submitted
                 .map_or_else(Vec::new, |job| job.steps.iter().map(Step::from).collect()),
             occurrences: submitted.map_or(1, |job| job.occurrences()),
--- a/crates/tool/src/jobs/overview.rs
+++ b/crates/tool/src/jobs/overview.rs
@@ -8,8 +8,8 @@
 };
 use sassafrascrank_job::{
     Id,
-    book,
-    progress::Outcome, //
+    progress::Outcome,
+    replica, //
 };
 use std::collections::BTreeMap;
 
@@ -86,13 +86,13 @@
 }
 
 impl Counts {
-    fn of(&mut self, state: Option<book::State>) -> &mut u64 {
+    fn of(&mut self, state: Option<replica::State>) -> &mut u64 {
         match state {
-            None | Some(book::State::Queued) => &mut self.queued,
-            Some(book::State::Running) => &mut self.running,
-            Some(book::State::Ended(Outcome::Done)) => &mut self.done,
-            Some(book::State::Ended(Outcome::Failed)) => &mut self.failed,
-            Some(book::State::Ended(Outcome::Cancelled)) => &mut self.cancelled,
+            None | Some(replica::State::Queued) => &mut self.queued,
+            Some(replica::State::Running) => &mut self.running,
+            Some(replica::State::Ended(Outcome::Done)) => &mut self.done,
+            Some(replica::State::Ended(Outcome::Failed)) => &mut self.failed,
+            Some(replica::State::Ended(Outcome::Cancelled)) => &mut self.cancelled,
         }
     }
 }
@@ -101,11 +101,11 @@
 pub(super) fn word(state: &State, id: Id) -> &'static str {
     match state.book.state(id) {
         None => "unknown",
-        Some(book::State::Queued) => "queued",
-        Some(book::State::Running) => "running",
-        Some(book::State::Ended(Outcome::Done)) => "done",
-        Some(book::State::Ended(Outcome::Failed)) => "failed",
-        Some(book::State::Ended(Outcome::Cancelled)) => "cancelled",
+        Some(replica::State::Queued) => "queued",
+        Some(replica::State::Running) => "running",
+        Some(replica::State::Ended(Outcome::Done)) => "done",
+        Some(replica::State::Ended(Outcome::Failed)) => "failed",
+        Some(replica::State::Ended(Outcome::Cancelled)) => "cancelled",
     }
 }
 
--- a/crates/tool/src/jobs/state.rs
+++ b/crates/tool/src/jobs/state.rs
@@ -14,9 +14,9 @@
 };
 use sassafrascrank_job::{
     self as job,
-    Book,
     Id,
     Record,
+    Replica,
     record, //
 };
 use std::{
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct State {
     /// The fold.
-    pub book: Book,
+    pub book: Replica,
     /// Jobs as they were submitted, also those that have ended.
     pub jobs: HashMap<Id, Arc<job::Job>>,
     /// Records that can't be read.
--- a/crates/tool/tests/jobs.rs
+++ b/crates/tool/tests/jobs.rs
@@ -39,7 +39,7 @@
         after: after.into(),
         ..Step::default()
     };
-    let terms = Terms {
+    let terms = Policy {
         pool: "quoting".into(),
         priority: 0,
         attempts: 2,
@@ -49,7 +49,7 @@
     Record::Job(Arc::new(Job {
         id: Id(id),
         queue: queue.into(),
-        terms,
+        policy: terms,
         specification: "text".into(),
         steps: [step(2, &[]), step(1, &[0])].into(),
         repeat: None,
@@ -60,7 +60,7 @@
 fn task(index: u16, done: bool, failures: u16, places: &[&str]) -> progress::Task {
     let place = |host: &&str| Assignment {
         runner: format!("runner-{host}").into(),
-        born: 1,
+        incarnation: 1,
         host: (*host).into(),
         attempt: u32::from(failures) + 1,
     };
@@ -93,7 +93,7 @@
     let leader = record::Leader {
         epoch: 1 << 16,
         holder: "entry-2".into(),
-        born: 1,
+        incarnation: 1,
         resigned: false,
         runs_until: Time::MIN,
         capacity: 250,
@@ -104,7 +104,7 @@
         begun: vec!["host-1".into(), "host-2".into()],
         done: false,
     };
-    let ordered = record::Ordered {
+    let ordered = record::HostOrder {
         epoch: 1 << 16,
         host: "host-1".into(),
         at: START,
@@ -123,7 +123,7 @@
         progress(3, Some(Ending::Failed), vec![task(1, false, 2, &[])]),
         Record::Cancel(Id(4)),
         Record::Wave(wave),
-        Record::Ordered(ordered),
+        Record::HostOrder(ordered),
     ];
     let mut state = State::default();
     for (offset, record) in records.into_iter().enumerate() {
