--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -116,7 +116,7 @@
         Record::Leader(Leader {
             epoch,
             holder: Arc::clone(&self.identity.name),
-            born: self.identity.born,
+            incarnation: self.identity.incarnation,
             resigned,
             runs_until: self.runs_until(),
             capacity: self.identity.capacity,
@@ -144,10 +144,10 @@
         let takeover = Takeover {
             epoch: claim.epoch,
             runs_until: self.runs_until(),
-            hosts: self.book.ordered().clone(),
+            hosts: self.book.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, takeover, config, now);
-        engine.restore_demand(self.book.turns(), now);
+        engine.restore_demand(self.book.demand(), now);
         for listed in self.runners.values() {
             engine.update_runner(runner::Change::Set(listed.clone()), now);
         }
