--- a/crates/schedule/src/engine/advice.rs
+++ b/crates/schedule/src/engine/advice.rs
@@ -2,12 +2,12 @@
 
 use super::Engine;
 use crate::{
-    job::StepKey, //
+    job::StepKey,
     order::{
         Order,
         report::Approval, //
     },
-    runner,
+    runner, //
 };
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
--- a/crates/schedule/src/engine/balance.rs
+++ b/crates/schedule/src/engine/balance.rs
@@ -10,8 +10,8 @@
         host::{
             self,
             Host,
-            Operation, //
-            State,
+            Operation,
+            State, //
         },
     },
     job::{
--- a/crates/schedule/src/engine/end.rs
+++ b/crates/schedule/src/engine/end.rs
@@ -15,8 +15,8 @@
         Note, //
     },
     order::report::{
-        EndReason, //
-        Ended,
+        EndReason,
+        Ended, //
     },
     runner,
 };
--- a/crates/schedule/src/engine/host.rs
+++ b/crates/schedule/src/engine/host.rs
@@ -10,9 +10,9 @@
         host::{
             self,
             Listed,
-            Operation, //
+            Operation,
             Outcome,
-            State,
+            State, //
         },
     },
     note::{
--- a/crates/schedule/src/engine/store.rs
+++ b/crates/schedule/src/engine/store.rs
@@ -5,8 +5,8 @@
     engine::Effect, //
 };
 use crate::job::{
-    ActiveJob, //
-    Occurrence,
+    ActiveJob,
+    Occurrence, //
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::{
--- a/crates/schedule/src/job/mod.rs
+++ b/crates/schedule/src/job/mod.rs
@@ -6,11 +6,11 @@
 mod task;
 
 pub use job::{
-    ActiveJob, //
+    ActiveJob,
     Advice,
     DurationSum,
     Occurrence,
-    StepState,
+    StepState, //
 };
 pub use key::{
     Key,
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -25,13 +25,9 @@
     //! Common types, imported as a whole by the crates that drive the engine.
 
     pub use crate::{
-        Config,
-        Engine,
-        Note,
-        Order,
-        Rules,
+        Config, Engine, Note, Order, Rules,
         fleet::host,
-        job::run, //
+        job::run,
         order::report,
         runner::{
             self,
--- a/crates/schedule/src/runner/runner.rs
+++ b/crates/schedule/src/runner/runner.rs
@@ -3,9 +3,9 @@
 use super::Listed;
 use crate::{
     Rules,
-    job::run, //
+    job::run,
     lease::ClockSample,
-    queue::key,
+    queue::key, //
 };
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
