--- a/crates/schedule/src/engine/admit.rs
+++ b/crates/schedule/src/engine/admit.rs
@@ -1,4 +1,4 @@
-//! Jobs, occurrences and steps that may run.
+//! Adding, ranking and finishing of jobs, occurrences, steps and tasks.
 
 use super::{
     Engine,
@@ -32,16 +32,16 @@
 };
 use std::sync::Arc;
 
-/// Time between two looks at which jobs can still meet their objective.
+/// Time between two checks of which jobs can still meet their objective.
 const TIER_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of the objective, in percent, at which a job counts as late if half of its remaining estimate does not fit. It
-/// leaves room for estimates that are far off.
+/// Percentage of the objective within which a job must be able to end, or else it counts as late. Only half of the
+/// remaining estimate is counted, since estimates may be far too high.
 const LATE_PERCENT: u32 = 110;
-/// Multiple of the objective after which the end of a job is worth nothing.
+/// Multiple of the objective after which the result of a job has no value.
 const OVERDUE_FACTOR: u32 = 3;
 
 impl Engine {
-    /// Takes a job of which nothing has been ordered.
+    /// Adds a job that was just submitted.
     pub fn add(&mut self, job: Arc<Job>, now: Time) {
         if self.job_index.contains_key(&job.id) {
             return;
@@ -51,7 +51,7 @@
         self.open_due_occurrences(key, now, now);
     }
 
-    /// Cancels a job: nothing of it starts, and what runs is stopped.
+    /// Cancels a job: none of its tasks starts any more, and its runs are stopped.
     pub fn cancel(&mut self, id: Id, now: Time) {
         let Some(&key) = self.job_index.get(&id) else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Makes the tasks of all steps ready that wait for nothing any more.
+    /// Makes the tasks of all steps ready whose earlier steps are done.
     pub(super) fn open_steps(&mut self, key: job::Key, number: u32) {
         let Some(active) = self.jobs.get_mut(key) else {
             return;
@@ -135,7 +135,7 @@
         self.rank_occurrence(key, number);
     }
 
-    /// Puts the ready tasks of an occurrence into the order of their pool.
+    /// Adds the ready tasks of an occurrence to the waiting tasks of their pool.
     pub(super) fn rank_occurrence(&mut self, key: job::Key, number: u32) {
         let Some(active) = self.jobs.get(key) else {
             return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Returns the place of a task in the order of its pool.
+    /// Returns the sort key of a task among the waiting tasks of its pool.
     pub(super) fn rank(&self, task: TaskKey) -> Option<Rank> {
         let active = self.jobs.get(task.job_key)?;
         let queue = &self.queues[active.queue];
@@ -189,7 +189,7 @@
         })
     }
 
-    /// Renews the order of all tasks that wait.
+    /// Sorts the waiting tasks of all pools anew.
     pub(super) fn rank_all(&mut self) {
         for pool in self.pools.values_mut() {
             pool.ready.clear();
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Puts jobs that can't meet their objective any more behind those that can.
+    /// Ranks jobs that can't meet their objective any more behind those that can.
     pub(super) fn update_tiers(&mut self, now: Time) {
         if now < self.tiers_updated + TIER_INTERVAL {
             return;
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Makes a task ready that has no run and is not done.
+    /// Makes an active task ready again once it has no run; a task of a job that has ended becomes blocked.
     pub(super) fn make_ready(&mut self, task: TaskKey) {
         let Some(active) = self.jobs.get_mut(task.job_key) else {
             return;
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Takes a task out of the order.
+    /// Removes a task from the waiting tasks of its pool.
     pub(super) fn unrank(&mut self, task: TaskKey) {
         if let Some(rank) = self.rank(task) {
             let pool = self.queues[self.jobs[task.job_key].queue].pool;
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Notes that a task is done.
+    /// Marks a task as done and stops its other runs.
     pub(super) fn complete_task(&mut self, task: TaskKey, now: Time) {
         self.unrank(task);
         let Some(active) = self.jobs.get_mut(task.job_key) else {
@@ -297,7 +297,7 @@
         self.close_occurrences(task.job_key, now);
     }
 
-    /// Counts the occurrences that are done, and ends the job after the last one.
+    /// Removes occurrences that are done, in order, and ends the job after the last one.
     fn close_occurrences(&mut self, key: job::Key, now: Time) {
         let Some(active) = self.jobs.get_mut(key) else {
             return;
@@ -307,7 +307,8 @@
             .first()
             .is_some_and(|occurrence| occurrence.number == active.finished && occurrence.is_done())
         {
-            // A second run of a speculative task may still be stopping; its end needs the occurrence.
+            // A second run of a speculative task may still be stopping, and the handling of its end needs the
+            // occurrence.
             let busy = |task: &job::Task| !task.runs.is_empty();
             if active.occurrences[0].tasks.iter().any(busy) && active.job.occurrences() > 1 {
                 break;
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Ends a job and stops what is left of it.
+    /// Ends a job with an outcome and stops its runs.
     pub(super) fn finish_job(
         &mut self,
         key: job::Key,
@@ -371,7 +372,7 @@
         );
     }
 
-    /// Drops a job that has ended, has no runs, and whose end the log holds.
+    /// Removes a job that has ended, if it has no runs and the log has its latest state.
     pub(super) fn drop_ended(&mut self, key: job::Key) {
         let ended =
             |active: &ActiveJob| active.outcome.is_some() && !active.dirty && !active.has_runs();
@@ -382,13 +383,13 @@
         }
     }
 
-    /// Schedules the drop of a job that has ended.
+    /// Schedules the removal of a job that has ended for when the log has its state.
     pub(super) fn drop_when_stored(&mut self, key: job::Key) {
         self.effects.push(Effect::Drop(key));
     }
 }
 
-/// Returns the longest chain of the caller's estimates through the steps that are not done.
+/// Returns the length of the critical path through the steps that are not done, by the caller's estimates.
 fn remaining_estimate(job: &Job, occurrence: &Occurrence) -> Duration {
     let mut ends = vec![Duration::ZERO; job.steps.len()];
     for (step, spec) in job.steps.iter().enumerate() {
@@ -402,18 +403,18 @@
     ends.into_iter().max().unwrap_or_default()
 }
 
-/// Returns the class of a step's tasks in the order of its pool.
+/// Returns the class of a step's tasks: within a priority, long-running tasks come first and background tasks last.
 fn class(priority: u8, step: &Step) -> u8 {
     let later = u8::from(!step.lasting) + u8::from(step.fills);
     priority.saturating_mul(3).saturating_add(later)
 }
 
-/// Returns when the objective of an occurrence ends.
+/// Returns the time by which an occurrence should end.
 fn deadline(job: &Job, stretch: u32, target: Duration, due: Time) -> Time {
     due + target + critical_path(job) * stretch / 1_000
 }
 
-/// Returns the longest chain of the caller's estimates.
+/// Returns the length of the critical path through all steps, by the caller's estimates.
 fn critical_path(job: &Job) -> Duration {
     let mut ends = vec![Duration::ZERO; job.steps.len()];
     for (step, spec) in job.steps.iter().enumerate() {
--- a/crates/schedule/src/engine/advice.rs
+++ b/crates/schedule/src/engine/advice.rs
@@ -12,15 +12,16 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// Runners named in one question. The service takes time for each, so a question names few more than are needed.
+/// Largest number of runners in one request. The service takes time for each, so a request has only some more than are
+/// needed.
 const RUNNER_LIMIT: usize = 30;
-/// Time after which an unanswered question is asked again.
+/// Time after which an unanswered request is repeated.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A ticket is not used within this time of its end, since a start takes time to arrive.
+/// Time before its expiry from which a ticket is not used any more, since a start takes time to arrive.
 const TICKET_RESERVE: Duration = Duration::from_millis(300);
 
 impl Engine {
-    /// Returns the ticket of a runner for a step, if there is one that is still valid.
+    /// Returns the ticket of a runner for a step, if it has one that is valid.
     pub(super) fn ticket(&self, step: StepKey, key: runner::Key, now: Time) -> Option<Arc<str>> {
         let occurrence = self.jobs.get(step.job_key)?.occurrence(step.occurrence)?;
         let advice = &occurrence.steps.get(usize::from(step.step))?.advice;
@@ -31,7 +32,7 @@
         row.map(|(_, ticket, _)| Arc::clone(ticket))
     }
 
-    /// Asks which runners may run a step, if that is not known.
+    /// Asks the advice service about runners for a step, unless a request is pending.
     pub(super) fn ask_advice(&mut self, step: StepKey, now: Time) {
         let Some(active) = self.jobs.get(step.job_key) else {
             return;
@@ -87,7 +88,7 @@
         });
     }
 
-    /// Takes the answer of the advice service.
+    /// Handles an answer of the advice service.
     pub(super) fn handle_advice(&mut self, step: StepKey, approved: Option<Approval>, now: Time) {
         let rows = approved.map(|approval| {
             let known = approval.tickets.into_iter().filter_map(|(id, ticket)| {
@@ -107,18 +108,18 @@
             Some(rows) => {
                 advice.asked = None;
                 advice.approved.retain(|(_, _, end)| now < *end);
-                // Approved runners are asked about again once their tickets have ended.
+                // Once their tickets have expired, the service is asked about approved runners again.
                 advice
                     .refused
                     .retain(|key| !rows.iter().any(|(row, _, _)| row == key));
                 advice.approved.extend(rows);
             }
-            // The runners that were named are neither approved nor refused.
+            // Without an answer, the runners of the request are neither approved nor refused.
             None => advice.refused.clear(),
         }
     }
 
-    /// Forgets the tickets of a step, since a runner rejected one.
+    /// Discards the tickets of a step after a runner rejected one.
     pub(super) fn drop_tickets(&mut self, step: StepKey) {
         if let Some(active) = self.jobs.get_mut(step.job_key)
             && let Some(occurrence) = active.occurrence_mut(step.occurrence)
--- a/crates/schedule/src/engine/balance.rs
+++ b/crates/schedule/src/engine/balance.rs
@@ -1,4 +1,4 @@
-//! How many hosts each pool gets.
+//! Distribution of hosts over the pools.
 
 use super::Engine;
 use crate::{
@@ -36,37 +36,38 @@
     sync::Arc,
 };
 
-/// Time between two rounds.
-const INTERVAL: Duration = Duration::from_millis(100);
-/// Hosts are not filled to the last core, since tasks don't divide evenly.
+/// Time between two rounds of balancing.
+const BALANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Part of a host's capacity that tasks are expected to fill. It is below 1, since tasks don't divide hosts evenly.
 const TARGET_FILL: f64 = 0.88;
-/// Time without work after which a host goes to another pool that needs it.
+/// Time without runs after which a host may move to another pool that needs it.
 const IDLE_BEFORE_LENDING: Duration = Duration::from_millis(300);
-/// Time without work after which a host is switched off, so that a pause between two tasks does not count.
+/// Time without runs after which a host may be switched off. A short pause between two tasks does not suffice.
 const IDLE_BEFORE_SWITCH_OFF: Duration = Duration::from_millis(800);
-/// Hosts that stay in a pool although it has no work, for the first tasks of a turn, at the least.
+/// Smallest number of hosts that a pool keeps without work, for the first tasks of a demand peak.
 const MIN_RESERVE_HOSTS: usize = 2;
-/// The same as a divisor of the hosts for each pool.
+/// Divisor of a pool's even share of all hosts, which yields the number of hosts that it keeps without work.
 const RESERVE_DIVISOR: usize = 18;
-/// The same as long as the sequence of turns is not known, so that hosts can't be moved ahead of a turn.
+/// The same divisor while the next peak can't be forecast, so that hosts can't be moved ahead of it.
 const RESERVE_DIVISOR_UNKNOWN: usize = 6;
-/// Hosts that a pool has beyond its need for a label below which other tasks should leave them alone.
+/// Number of hosts with a label that a pool has beyond its need, below which tasks that do not need the label should
+/// avoid them.
 const SCARCE_MARGIN_HOSTS: f64 = 1.0;
-/// Tasks that wait and are counted at most; beyond it the pool needs all hosts that there are.
+/// Largest number of waiting tasks of a pool that are counted. With more than that, it needs all hosts anyway.
 const COUNTED_TASK_LIMIT: usize = 2_000;
 
-/// What one pool has and needs.
+/// Hosts that a pool has and needs.
 #[derive(Clone, Copy, Debug)]
 struct Need {
     pool: key::Pool,
-    /// Hosts that work for it or are on their way.
+    /// Number of hosts that work for the pool or are moving to it.
     have: usize,
-    /// Hosts that it needs.
+    /// Number of hosts that the pool needs.
     want: usize,
 }
 
 impl Engine {
-    /// Notes the work of a job that was just submitted.
+    /// Adds the estimated work of a job that was just submitted to the demand on its pool.
     pub(super) fn record_demand(&mut self, job: &Job, now: Time) {
         let queue = self.intern_queue(&job.queue, &job.terms);
         let pool = self.queues[queue].pool;
@@ -86,9 +87,9 @@
         self.fleet.demand.submit(pool, amount, parts, now);
     }
 
-    /// Moves hosts to the pools that need them, and switches off those that nobody needs.
+    /// Moves hosts to the pools that need them, and switches off those that no pool needs.
     pub(super) fn balance(&mut self, now: Time) {
-        if now < self.fleet.balanced_at + INTERVAL || self.fleet.hosts.is_empty() {
+        if now < self.fleet.balanced_at + BALANCE_INTERVAL || self.fleet.hosts.is_empty() {
             return;
         }
         self.fleet.balanced_at = now;
@@ -112,8 +113,8 @@
                     break;
                 };
                 let from = self.fleet.hosts[host].pool;
-                if let Some(giver) = needs.iter_mut().find(|need| need.pool == from) {
-                    giver.have -= 1;
+                if let Some(donor) = needs.iter_mut().find(|need| need.pool == from) {
+                    donor.have -= 1;
                 }
                 needs[index].have += 1;
                 self.move_host(host, needs[index].pool, now);
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Returns a pool whose hosts are switched off.
+    /// Returns the pool of hosts that are switched off, if there is one.
     fn standby_pool(&self) -> Option<key::Pool> {
         let mut pools = self.pools.iter();
         pools.find(|(_, pool)| pool.standby).map(|(key, _)| key)
     }
 
-    /// Returns what a pool has and needs.
+    /// Returns the hosts that a pool has and needs, and updates the demand on it.
     fn need(&mut self, key: key::Pool, now: Time) -> Need {
         let pool = &self.pools[key];
         let mut load = Resource::default();
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Returns what a task that waits takes of a host; nothing if no host can run it, since more hosts would not help.
+    /// Returns the resources that a waiting task needs; none if no host can run it, since more hosts would not help.
     fn need_of_waiting(&self, task: TaskKey) -> Resource {
         let Some(spec) = self.step_spec(task) else {
             return Resource::default();
@@ -187,7 +188,8 @@
         if runnable { need } else { Resource::default() }
     }
 
-    /// Returns what a usual host holds: the mean over the runners of the pool, or over all hosts if it has none.
+    /// Returns the usable capacity of an average host: the mean over the runners of the pool, or over all hosts if the
+    /// pool has none.
     fn usual_size(&self, key: key::Pool) -> Amount {
         let runners = self.pools[key].runners.iter();
         let sizes = runners.map(|&runner| self.runners[runner].capacity);
@@ -203,17 +205,18 @@
         Amount::new(sum, TARGET_FILL / sizes.len().max(1) as f64)
     }
 
-    /// Returns the hosts that stay in each pool without work.
+    /// Returns the number of hosts that each pool keeps without work.
     fn reserve(&self) -> usize {
-        let share = match self.fleet.demand.is_sequence_known() {
+        let divisor = match self.fleet.demand.is_sequence_known() {
             true => RESERVE_DIVISOR,
             false => RESERVE_DIVISOR_UNKNOWN,
         };
         let pools = self.pools.values().filter(|pool| !pool.standby).count();
-        MIN_RESERVE_HOSTS.max(self.fleet.hosts.len() / (pools.max(1) * share))
+        MIN_RESERVE_HOSTS.max(self.fleet.hosts.len() / (pools.max(1) * divisor))
     }
 
-    /// Brings hosts with labels and racks of which the present work of a pool asks for more than the pool has.
+    /// Moves hosts to a pool whose work needs more hosts with a label or in a rack than the pool has, and marks runners
+    /// whose labels are scarce.
     fn move_hosts_for_labels(&mut self, need: &mut Need, now: Time) {
         let missing_hosts = self.missing_hosts(*need);
         for &runner in &self.pools[need.pool].runners {
@@ -241,19 +244,19 @@
         }
     }
 
-    /// Returns a host that another pool can do without. Hosts with labels and racks that the pool lacks come first, and
-    /// hosts that are paid for before those that are not.
+    /// Returns a host that another pool can spare. Hosts with labels and racks that the pool lacks are preferred, and
+    /// then hosts that are switched on, since they are paid for already.
     fn find_spare_host(
         &self,
         needs: &[Need],
         standby: key::Pool,
-        short: Need,
+        need: Need,
         now: Time,
     ) -> Option<host::Key> {
-        let missing_hosts = self.missing_hosts(short);
+        let missing_hosts = self.missing_hosts(need);
         let surplus = |from: key::Pool| {
-            let need = needs.iter().find(|need| need.pool == from);
-            need.is_some_and(|need| need.have > need.want)
+            let donor = needs.iter().find(|donor| donor.pool == from);
+            donor.is_some_and(|donor| donor.have > donor.want)
         };
         let idle =
             |since: Option<Time>| since.is_some_and(|since| now >= since + IDLE_BEFORE_LENDING);
@@ -261,7 +264,7 @@
         for (key, host) in &self.fleet.hosts {
             let off = host.pool == standby;
             let free = off || (surplus(host.pool) && idle(host.idle_since));
-            if host.pool == short.pool || !free || !self.is_orderable(key, now) {
+            if host.pool == need.pool || !free || !self.is_orderable(key, now) {
                 continue;
             }
             let rank = (label_gain(host, &missing_hosts), !off);
@@ -272,8 +275,8 @@
         best.map(|(_, key)| key)
     }
 
-    /// Returns the labels and racks that the work of a pool asks for, with the number of hosts that the pool lacks of
-    /// each, below zero if it has more than that. They are sorted, so that equal states lead to equal moves.
+    /// Returns the labels and racks that the work of a pool needs, with the number of hosts that the pool lacks of
+    /// each, which is negative if it has more than it needs. They are sorted, so that equal states lead to equal moves.
     fn missing_hosts(&self, need: Need) -> BTreeMap<Arc<str>, f64> {
         let shares = self.fleet.demand.shares(need.pool);
         let mut missing_hosts: BTreeMap<Arc<str>, f64> = shares
@@ -299,7 +302,8 @@
         missing_hosts
     }
 
-    /// Returns what the tasks of a pool that run or wait take of hosts, by the label and the rack that they ask for.
+    /// Returns the resources that the running and the waiting tasks of a pool need, by the label and the rack that they
+    /// require.
     fn load_by_label(&self, key: key::Pool) -> HashMap<&str, Amount> {
         let pool = &self.pools[key];
         let runs = pool.runners.iter().flat_map(|&key| &self.runners[key].runs);
@@ -321,7 +325,7 @@
         load
     }
 
-    /// Switches off hosts of a pool that have had no work for a while.
+    /// Switches off hosts that a pool does not need and that have had no runs for a while.
     fn switch_off(&mut self, mut need: Need, standby: key::Pool, now: Time) {
         let idle =
             |since: Option<Time>| since.is_some_and(|since| now >= since + IDLE_BEFORE_SWITCH_OFF);
@@ -329,7 +333,7 @@
         let hosts = hosts.filter(|(_, host)| host.pool == need.pool && idle(host.idle_since));
         let mut keys: Vec<host::Key> = hosts.map(|(key, _)| key).collect();
         if need.have > need.want && !keys.is_empty() {
-            // Hosts with labels and racks of which the pool has more than it needs go first.
+            // Hosts whose labels and racks the pool needs least are switched off first.
             let missing_hosts = self.missing_hosts(need);
             let gain = |key: &host::Key| label_gain(&self.fleet.hosts[*key], &missing_hosts);
             keys.sort_by(|one, other| gain(one).total_cmp(&gain(other)));
@@ -349,7 +353,7 @@
         self.close_host(key, Operation::Move(pool), now);
     }
 
-    /// Takes what the former leader had learned of the demand.
+    /// Restores the demand forecasts of the former leader.
     pub fn restore_demand(&mut self, turns: &record::Turns, now: Time) {
         let mut forecasts = Vec::new();
         for turn in &turns.pools {
@@ -369,7 +373,7 @@
         self.fleet.demand.restore(forecasts, latest, now);
     }
 
-    /// Returns what was learned of the demand.
+    /// Returns the record of the demand forecasts.
     pub(super) fn demand_record(&self) -> record::Turns {
         let (forecasts, latest) = self.fleet.demand.forecasts();
         let name = |key: key::Pool| self.pools.get(key).map(|pool| Arc::clone(&pool.name));
@@ -391,7 +395,7 @@
     }
 }
 
-/// Tells whether a host is in a pool or on its way there.
+/// Returns whether a host is in a pool or moving there.
 fn will_be_in(host: &Host, pool: key::Pool) -> bool {
     match host.operation {
         Some(Operation::Move(to)) => to == pool,
@@ -399,13 +403,14 @@
     }
 }
 
-/// Returns how much a pool gains by a host, from the number of hosts that it lacks of each label and rack.
+/// Returns how much a pool would gain by a host: the sum of the numbers of hosts that it lacks of the host's labels and
+/// rack.
 fn label_gain(host: &Host, missing_hosts: &BTreeMap<Arc<str>, f64>) -> f64 {
     let labels = host.listed.labels.iter();
     labels.filter_map(|label| missing_hosts.get(label)).sum()
 }
 
-/// Tells whether a runner works for its pool, or will as soon as it has answered.
+/// Returns whether a runner works for its pool, or will once it has answered.
 fn is_usable(runner: &Runner) -> bool {
     runner.listed && runner.leaves_at.is_none() && !runner.closing && runner.misses == 0
 }
--- a/crates/schedule/src/engine/end.rs
+++ b/crates/schedule/src/engine/end.rs
@@ -1,4 +1,4 @@
-//! Ends of runs.
+//! Handling of the ends of runs.
 
 use super::{
     Engine,
@@ -23,14 +23,13 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::progress::Outcome;
 
-/// Failures in a row, of different jobs, after which a runner gets no work for a while. One job that fails
-/// everywhere does not count against the runners.
+/// Number of failed tasks in a row after which a runner is quarantined.
 const FAILURE_LIMIT: u32 = 3;
-/// Limit on the growth of the time without work, in doublings.
+/// Largest number of times that the quarantine doubles.
 const QUARANTINE_DOUBLINGS: u32 = 3;
 
 impl Engine {
-    /// Takes the ends that a runner lists. They are acknowledged once the log holds what follows from them.
+    /// Handles the ends that a runner reports. They are acknowledged once the log has their consequences.
     pub(super) fn handle_ends(&mut self, key: runner::Key, mut ends: Vec<Ended>, now: Time) {
         ends.sort_unstable_by_key(|end| end.number);
         let mut last = None;
@@ -72,7 +71,7 @@
         let run = state.runs.iter().find(matches).copied();
         let known = end.attempt <= state.attempt && state.state != State::Done;
         let Some(run) = run.and_then(|run| self.detach(run)) else {
-            // The run was given up after its lease. Its result still counts if nobody else has it.
+            // The run was given up after its lease had ended. Its result counts if the task is not done yet.
             if end.reason == EndReason::Done && known {
                 self.complete_attempt(task, end.attempt, now);
             }
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Keeps the latest checkpoint of a task; that of a gang's member counts for all members.
+    /// Keeps the latest checkpoint of a task. The checkpoint of one member of a gang is that of all members.
     pub(super) fn keep_checkpoint(
         &mut self,
         task: TaskKey,
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Counts a failed attempt.
+    /// Handles a failed attempt of a task, and ends its job after too many of them.
     fn fail_attempt(&mut self, task: TaskKey, runner_key: runner::Key, now: Time) {
         self.record_failure(runner_key, now);
         let Some(active) = self.jobs.get_mut(task.job_key) else {
@@ -149,7 +148,7 @@
         }
     }
 
-    /// Notes that a runner has done a task.
+    /// Records that a runner completed a task.
     fn record_success(&mut self, key: runner::Key) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.failures = 0;
@@ -157,7 +156,7 @@
         }
     }
 
-    /// Notes that a task failed at a runner.
+    /// Records that a task failed on a runner, and quarantines the runner after too many failures in a row.
     fn record_failure(&mut self, key: runner::Key, now: Time) {
         let quarantine = self.rules.quarantine;
         let Some(runner) = self.runners.get_mut(key) else {
@@ -170,7 +169,7 @@
         let doublings = runner.quarantines.min(QUARANTINE_DOUBLINGS);
         runner.quarantines += 1;
         runner.quarantined_until = now + quarantine * (1 << doublings);
-        // One more failure after the quarantine is enough for the next one.
+        // After the quarantine, a single failure leads to the next one.
         runner.failures = FAILURE_LIMIT - 1;
         let id = runner.id.clone();
         self.note(Note::new(Kind::RunnerQuarantined, "failures", now).with_place(&id));
--- a/crates/schedule/src/engine/engine.rs
+++ b/crates/schedule/src/engine/engine.rs
@@ -1,4 +1,4 @@
-//! State of the leader.
+//! The engine: state of the scheduler on the leader.
 
 use crate::{
     Config, Note, Order, Rules,
@@ -34,36 +34,36 @@
     sync::Arc, //
 };
 
-/// What a new leader has to respect of the former one.
+/// What a new leader takes over from former leaders.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     /// Epoch of the new leader.
     pub epoch: u64,
-    /// Until then, runs of former leaders may go on at runners that don't answer.
+    /// Time until which runs of former leaders may be alive on runners that do not answer.
     pub runs_until: Time,
-    /// When former leaders last ordered hosts.
+    /// When former leaders last gave an order to each host.
     pub hosts: HashMap<Arc<str>, Time>,
 }
 
-/// What happens once the log holds a state.
+/// What happens once the log has the records of a decision.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Effect {
-    /// A run may start.
+    /// The run may start.
     Start(run::Key),
-    /// Ends of a runner up to a number may be acknowledged.
+    /// The ends of a runner up to the number may be acknowledged.
     Acknowledge(runner::Key, u64),
-    /// A job that has ended may be dropped.
+    /// The job, which has ended, may be removed.
     Drop(job::Key),
-    /// A host may be ordered.
+    /// The order to the host may be given.
     Order(host::Key),
 }
 
-/// State of the leader.
+/// The engine: state of the scheduler on the leader.
 #[derive(Debug)]
 pub struct Engine {
     pub(super) rules: Rules,
     pub(super) epoch: u64,
-    /// Until then, runs of the former leader may go on at runners that don't answer.
+    /// Time until which runs of former leaders may be alive on runners that do not answer.
     pub(super) former_runs_until: Time,
     pub(super) queues: SlotMap<key::Queue, Queue>,
     pub(super) queue_index: HashMap<Arc<str>, key::Queue>,
@@ -76,27 +76,27 @@
     pub(super) runs: SlotMap<run::Key, Run>,
     /// Jobs whose latest state the log lacks.
     pub(super) dirty: Vec<job::Key>,
-    /// What happens once the records taken next are stored.
+    /// Effects of decisions whose records were not taken yet.
     pub(super) effects: Vec<Effect>,
-    /// What happens once the records on their way to the log are stored; `None` if there are none.
+    /// Effects of decisions whose records are being appended to the log; `None` if none are.
     pub(super) storing: Option<Vec<Effect>>,
-    /// Runs whose state is stored, but that could not be ordered yet.
+    /// Runs that are in the log and whose start was not ordered yet.
     pub(super) startable: Vec<run::Key>,
     pub(super) fleet: Fleet,
-    /// Hosts whose order is stored, but that could not be ordered yet.
+    /// Hosts whose order is in the log and was not given yet.
     pub(super) orderable: Vec<host::Key>,
     pub(super) orders: Vec<Order>,
     pub(super) notes: Vec<Note>,
-    /// When the tiers of jobs were last renewed.
+    /// When the tiers of jobs were last updated.
     pub(super) tiers_updated: Time,
-    /// When slow runners were last looked for.
+    /// When slow runners were last searched for.
     pub(super) stragglers_checked: Time,
-    /// A runner knows a later leader.
+    /// Whether a runner or the host service rejected an order because of a later leader.
     pub(super) superseded: bool,
 }
 
 impl Engine {
-    /// Makes the engine of a new leader, without jobs and runners.
+    /// Creates the engine of a new leader, without jobs and runners.
     pub fn new(rules: Rules, takeover: Takeover, config: &Config, now: Time) -> Self {
         let mut engine = Self {
             rules,
@@ -127,7 +127,7 @@
         engine
     }
 
-    /// Takes a version of the configuration. Queues that it lacks keep their last terms for jobs that they hold.
+    /// Applies a version of the configuration. Queues that it lacks keep their last terms for the jobs that they have.
     pub fn configure(&mut self, config: &Config) {
         for queue in self.queues.values_mut() {
             queue.configured = false;
@@ -153,22 +153,22 @@
         self.rank_all();
     }
 
-    /// Takes the orders that have to be carried out.
+    /// Takes the orders that the caller has to carry out.
     pub fn take_orders(&mut self) -> Vec<Order> {
         core::mem::take(&mut self.orders)
     }
 
-    /// Takes the notes on what was decided.
+    /// Takes the notes on decisions and events.
     pub fn take_notes(&mut self) -> Vec<Note> {
         core::mem::take(&mut self.notes)
     }
 
-    /// Tells whether a runner knows a later leader, so that this one has to give up.
+    /// Returns whether an order was rejected because of a later leader, so that this one has to resign.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Returns the number of jobs under way, of runs, and of tasks that wait for a runner.
+    /// Returns the number of active jobs, of runs, and of waiting tasks.
     pub fn counts(&self) -> (usize, usize, usize) {
         let ready = self.pools.values().map(|pool| pool.ready.len()).sum();
         (self.jobs.len(), self.runs.len(), ready)
@@ -215,7 +215,7 @@
         self.notes.push(note);
     }
 
-    /// Makes a note about a run.
+    /// Adds a note about a run.
     pub(super) fn note_run(&mut self, kind: Kind, reason: &'static str, run: &Run, now: Time) {
         let mut note = Note::new(kind, reason, now)
             .with_task(run.task_id, run.attempt)
--- a/crates/schedule/src/engine/evict.rs
+++ b/crates/schedule/src/engine/evict.rs
@@ -1,4 +1,4 @@
-//! Moving lasting tasks away from runners that leave or whose hosts are about to be touched.
+//! Eviction of long-running tasks from runners that leave or whose hosts are about to be moved or maintained.
 
 use super::Engine;
 use crate::{
@@ -16,11 +16,12 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Percentage that a lasting task shows once it works fully.
+/// Percentage that a long-running task reports once it works at full speed.
 const FULL_PERCENT: u8 = 100;
 
 impl Engine {
-    /// Stops lasting tasks at runners that leave or close, one by one within their budgets.
+    /// Stops long-running tasks on runners that leave or are closed, as far as the disruption budgets of their steps
+    /// allow.
     pub(super) fn evict(&mut self, now: Time) {
         let leaving = |runner: &Runner| runner.closing || runner.leaves_at.is_some();
         let keys = self.runners.iter().filter(|(_, runner)| leaving(runner));
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Tells whether a lasting task may be stopped, to start elsewhere.
+    /// Returns whether a run is of a long-running task that may be stopped and can start elsewhere.
     fn may_evict(&self, key: run::Key, draining: bool, now: Time) -> bool {
         let run = &self.runs[key];
         let Some(spec) = self.step_spec(run.task) else {
@@ -45,7 +46,7 @@
         if !spec.lasting || run.stage != Stage::Running {
             return false;
         }
-        // Ends at a runner that drains don't count against the budget.
+        // Stops on a draining runner do not count against the budget.
         if !draining && !self.is_within_budget(run, now) {
             return false;
         }
@@ -53,7 +54,8 @@
             .is_some()
     }
 
-    /// Tells whether the budget of the step allows a stop: fewer of its other tasks are away than may be missed.
+    /// Returns whether the disruption budget of the step allows a stop: fewer of its other tasks are down than may be
+    /// missed.
     pub(super) fn is_within_budget(&self, run: &Run, now: Time) -> bool {
         let Some(spec) = self.step_spec(run.task) else {
             return false;
@@ -64,7 +66,7 @@
         self.count_away(run, now) < usize::from(budget)
     }
 
-    /// Returns how many other tasks of the step are not at work.
+    /// Returns the number of other tasks of the step that are not at full speed.
     fn count_away(&self, run: &Run, now: Time) -> usize {
         let Some(active) = self.jobs.get(run.task.job_key) else {
             return 0;
@@ -83,21 +85,21 @@
             .count()
     }
 
-    /// Tells whether a lasting task works fully, as far as is known.
+    /// Returns whether a run of a long-running task works at full speed, as far as is known.
     ///
-    /// A former leader may have ordered its stop just before its runner learned of this one; the runner lists it until
-    /// the stop has ended.
+    /// A former leader may have ordered the run to stop just before the runner learned of this leader. The runner
+    /// reports it as alive until the stop has ended, so a run that was adopted counts only after that time.
     fn is_fully_working(&self, key: run::Key, now: Time) -> bool {
         let run = &self.runs[key];
-        let sound = |runner: &Runner| runner.misses == 0 && runner.fenced;
-        let certain = |at: Time| now > at + self.rules.stop_limit + self.rules.margin;
+        let reachable = |runner: &Runner| runner.misses == 0 && runner.fenced;
+        let stop_is_over = |at: Time| now > at + self.rules.stop_limit + self.rules.margin;
         run.stage == Stage::Running
-            && run.adopted.is_none_or(certain)
+            && run.adopted.is_none_or(stop_is_over)
             && run.percent >= FULL_PERCENT
-            && self.runners.get(run.runner).is_some_and(sound)
+            && self.runners.get(run.runner).is_some_and(reachable)
     }
 
-    /// Tells whether a runner's host could be emptied now, as far as its lasting tasks go.
+    /// Returns whether the budgets of the long-running tasks on a runner allow its host to be emptied now.
     pub(super) fn can_be_emptied(&self, key: runner::Key, now: Time) -> bool {
         self.runners[key].runs.iter().all(|&run| {
             let run = &self.runs[run];
@@ -106,7 +108,7 @@
         })
     }
 
-    /// Tells whether a runner has lasting tasks.
+    /// Returns whether a runner has long-running tasks.
     pub(super) fn has_long_running(&self, key: runner::Key) -> bool {
         let mut runs = self.runners[key].runs.iter();
         runs.any(|&run| {
--- a/crates/schedule/src/engine/gang.rs
+++ b/crates/schedule/src/engine/gang.rs
@@ -1,4 +1,4 @@
-//! Steps whose tasks work only together.
+//! Gang scheduling: steps whose tasks work only while all of them run.
 
 use super::Engine;
 use crate::{
@@ -16,7 +16,8 @@
 use std::collections::HashMap;
 
 impl Engine {
-    /// Notes that an attempt of a task is done; the end of one member of a gang stands for all members of that attempt.
+    /// Handles the completion of an attempt of a task. If one member of a gang is done, all members of that attempt
+    /// are.
     pub(super) fn complete_attempt(&mut self, task: TaskKey, attempt: u32, now: Time) {
         let Some(active) = self.jobs.get(task.job_key) else {
             return;
@@ -28,8 +29,8 @@
         }
         for index in 0..spec.count {
             let member = task.step().task(index);
-            // The members end together, and each end is listed by its runner. Runs of a later attempt go on, until they
-            // are stopped because the task is done.
+            // The members end together, and their runners report each end. Runs of a later attempt stay attached, so
+            // that they are stopped because the task is done.
             let ended = |run: &run::Key| self.runs[*run].attempt == attempt;
             let runs: Vec<run::Key> = self.runs_of(member).into_iter().filter(ended).collect();
             for run in runs {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Stops the other members after the run of one has ended without being done.
+    /// Stops the other members of a gang after a run of one member ended without completing.
     pub(super) fn break_gang(&mut self, run: &Run, now: Time) {
         let gang = self.jobs.get(run.task.job_key).is_some_and(|active| {
             let spec = active.job.steps.get(usize::from(run.task.step));
@@ -70,7 +71,7 @@
         state.map(|state| state.runs.clone()).unwrap_or_default()
     }
 
-    /// Plans all members of a gang at once, if there is room for all. Returns whether it did.
+    /// Plans runs of all members of a gang if there is capacity for all of them, and returns whether it did.
     pub(super) fn place_gang(&mut self, step: StepKey, now: Time) -> bool {
         let Some(active) = self.jobs.get(step.job_key) else {
             return false;
@@ -103,7 +104,7 @@
         true
     }
 
-    /// Returns a runner for each member, or `None` if there is not room for all.
+    /// Returns a runner for each member, or `None` if there is not enough capacity.
     fn find_runners(
         &self,
         step: StepKey,
@@ -131,7 +132,7 @@
         Some(runners)
     }
 
-    /// Returns the racks of a step's pool.
+    /// Returns the racks of the step's pool.
     fn racks(&self, step: StepKey) -> Vec<std::sync::Arc<str>> {
         let pool = self.queues[self.jobs[step.job_key].queue].pool;
         let runners = self.pools[pool].runners.iter();
--- a/crates/schedule/src/engine/host.rs
+++ b/crates/schedule/src/engine/host.rs
@@ -1,4 +1,4 @@
-//! Orders to hosts: maintenance waves.
+//! Orders to hosts, and maintenance waves.
 
 use super::{
     Engine,
@@ -31,30 +31,33 @@
 use sassafrascrank_job::record;
 use std::sync::Arc;
 
-/// Time between two host lists while hosts are on their way.
+/// Time between two requests for the host list while an operation or a wave is going on.
 const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(500);
-/// Time between two host lists otherwise.
+/// Time between two requests for the host list otherwise.
 const LIST_INTERVAL_IDLE: Duration = Duration::from_millis(2_000);
-/// Time after which an order without an answer is repeated.
+/// Time after which an unanswered order is repeated.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Time after the log has named a host as ordered up to which the order is sent. A new leader leaves the host alone for
-/// [`Rules::host_lease`](crate::Rules::host_lease) and a margin, which also have to cover a call without an answer.
+/// Time within which an order has to be sent after the time that the log states for it. A new leader gives the host no
+/// order for [`Rules::host_lease`](crate::Rules::host_lease) and a margin from that time, which also has to cover a
+/// call without an answer.
 const SEND_LIMIT: Duration = Duration::from_millis(1_000);
-/// Pause after an order that failed.
+/// Time after a failed order during which the host gets no other.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// Time within which an accepted order shows in the host list, at the latest.
+/// Time within which the host list reflects an order that was carried out.
 const LIST_DELAY_LIMIT: Duration = Duration::from_millis(1_200);
-/// Difference between the clocks of two entries that is allowed for.
+/// Allowed difference between the clocks of two leaders.
 const CLOCK_MARGIN: Duration = Duration::from_millis(700);
-/// Time for which a host is kept closed although it does not become empty.
+/// Time after which a host that does not become empty is opened again for new tasks.
 const CLOSE_LIMIT: Duration = Duration::from_millis(6_000);
-/// Time from the first try of an order for which a busy host counts as away because of a try without an answer.
+/// Time from the first attempt of an order during which a host that answers that it is busy is assumed to be executing
+/// an earlier, unanswered attempt.
 const DOUBT_LIMIT: Duration = Duration::from_millis(8_000);
-/// Hosts of one pool that may be closed at once, as a divisor of the pool's size.
+/// Divisor of a pool's size, which yields the number of its hosts that may be closed at once.
 const CLOSE_DIVISOR: usize = 4;
 
 impl Engine {
-    /// Takes a wave that operators ask for, with what the log says of its progress.
+    /// Adds a maintenance wave that operators requested, with its progress from the log. `cap` is the largest number of
+    /// hosts in maintenance at once.
     pub fn add_wave(
         &mut self,
         number: u64,
@@ -84,8 +87,8 @@
         );
     }
 
-    /// Takes the list of hosts, or that it can't be had.
-    pub(super) fn handle_hosts(&mut self, hosts: Option<Vec<Listed>>, now: Time) {
+    /// Handles the list of hosts, or with `None` the failure to get it.
+    pub(super) fn handle_host_list(&mut self, hosts: Option<Vec<Listed>>, now: Time) {
         let asked = self.fleet.list_requested.take().unwrap_or(now);
         let busy = self
             .fleet
@@ -143,19 +146,19 @@
             return;
         };
         let known = &mut self.fleet.hosts[key];
-        // A list that was asked for before the order took effect may still show the former state.
+        // A list that was requested before the order took effect may still have the former state.
         let fresh = asked > known.ordered_at + LIST_DELAY_LIMIT || listed.state != State::Up;
-        // A host that is away shows that an order without an answer was carried out.
+        // If the host is away, the unanswered order was carried out.
         let away = match known.operation {
             Some(Operation::Maintain(_)) => listed.state == State::Maintenance,
             Some(Operation::Move(_)) => listed.state == State::Moving,
             None => false,
         };
         let carried_out = known.in_doubt && !known.carried_out && away;
-        let settled = known.carried_out && fresh && listed.state == State::Up;
+        let finished = known.carried_out && fresh && listed.state == State::Up;
         known.pool = pool;
         known.listed = listed;
-        if settled {
+        if finished {
             known.operation = None;
             known.carried_out = false;
             known.closed_since = None;
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Orders what waves and pools need.
+    /// Advances maintenance waves and moves hosts between pools.
     pub(super) fn manage_hosts(&mut self, now: Time) {
         if self.fleet.list_requested.is_none() && now >= self.fleet.next_list {
             self.fleet.list_requested = Some(now);
@@ -181,13 +184,13 @@
         self.balance(now);
     }
 
-    /// Returns the runner of a host in its present pool.
+    /// Returns the runner of a host, if it has one.
     pub(super) fn runner_of(&self, host: &Host) -> Option<runner::Key> {
         let id = host.listed.runner.as_ref()?;
         self.runner_index.get(id).copied()
     }
 
-    /// Notes since when hosts are without work.
+    /// Updates since when hosts have had no runs, and opens hosts again that did not become empty in time.
     fn update_idle(&mut self, now: Time) {
         let keys: Vec<host::Key> = self.fleet.hosts.keys().collect();
         for key in keys {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Opens or closes the runner of a host for new work.
+    /// Opens or closes the runner of a host for new tasks.
     fn set_closing(&mut self, key: host::Key, closing: bool) {
         let runner = self.runner_of(&self.fleet.hosts[key]);
         if let Some(runner) = runner.and_then(|runner| self.runners.get_mut(runner)) {
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Maintains hosts of a wave that are empty, and closes others so that they become empty.
+    /// Orders the maintenance of hosts of a wave that are empty, and closes others so that they become empty.
     fn advance_wave(&mut self, number: u64, now: Time) {
         let Some(wave) = self.fleet.waves.get(&number) else {
             return;
@@ -281,7 +284,7 @@
         }
     }
 
-    /// Tells whether a host may be moved or maintained now: it is up and runs nothing.
+    /// Returns whether a host may be ordered to move or to begin its maintenance: it is up, has no runs and no order.
     pub(super) fn is_orderable(&self, key: host::Key, now: Time) -> bool {
         let host = &self.fleet.hosts[key];
         let empty = match self.runner_of(host) {
@@ -289,7 +292,8 @@
                 let runner = &self.runners[runner];
                 runner.runs.is_empty() && runner.leaves_at.is_none()
             }
-            // A runner that the service list lacks may run tasks, unless the pool's hosts are switched off.
+            // A runner that is not in the service list may still run tasks, unless the hosts of the pool are switched
+            // off.
             None => self.pools[host.pool].standby || host.listed.runner.is_none(),
         };
         let before = self.fleet.former_orders.get(&host.listed.name);
@@ -301,12 +305,12 @@
             && !blocked
     }
 
-    /// Returns how long a host is left alone after an order by a former leader.
+    /// Returns the time after an order by a former leader during which a host gets no order.
     fn block_duration(&self) -> Duration {
         self.rules.host_lease + CLOCK_MARGIN
     }
 
-    /// Tells whether a host may be closed so that it becomes empty.
+    /// Returns whether a host may be closed to new tasks so that it becomes empty.
     fn is_closable(&self, key: host::Key, urgent: bool, now: Time) -> bool {
         let host = &self.fleet.hosts[key];
         let Some(runner) = self.runner_of(host) else {
@@ -331,7 +335,7 @@
         self.close_host(key, Operation::Maintain(wave), now);
     }
 
-    /// Closes a host for an order that is given once the log names it.
+    /// Closes a host to new tasks for an operation, which is ordered once the log has the order.
     pub(super) fn close_host(&mut self, key: host::Key, operation: Operation, now: Time) {
         self.set_closing(key, true);
         let runner = self.runner_of(&self.fleet.hosts[key]);
@@ -345,14 +349,14 @@
         self.store_order(key, now);
     }
 
-    /// Lets the log name the host as ordered now; the order follows.
+    /// Schedules the record of an order to a host; the order is given once the log has it.
     fn store_order(&mut self, key: host::Key, now: Time) {
         self.fleet.hosts[key].ordered_at = now;
         self.fleet.unstored_orders.push(key);
         self.effects.push(Effect::Order(key));
     }
 
-    /// Gives the order that a host has, or lets the log name it again if that is too long ago.
+    /// Gives the order for the operation on a host, or stores it again if its record is too old.
     pub(super) fn order_host(&mut self, key: host::Key, now: Time) {
         let host = &self.fleet.hosts[key];
         let until = host.ordered_at + SEND_LIMIT;
@@ -396,8 +400,14 @@
         }
     }
 
-    /// Takes what came of an order to a host.
-    pub(super) fn handle_host(&mut self, key: host::Key, number: u32, outcome: Outcome, now: Time) {
+    /// Handles the result of an order to a host.
+    pub(super) fn handle_host_result(
+        &mut self,
+        key: host::Key,
+        number: u32,
+        outcome: Outcome,
+        now: Time,
+    ) {
         if outcome == Outcome::Fenced {
             self.superseded = true;
             return;
@@ -405,14 +415,16 @@
         let Some(host) = self.fleet.hosts.get_mut(key) else {
             return;
         };
-        // The answer to an earlier order says nothing about the present one, nor about the runner that came after it.
+        // The answer to an earlier order says nothing about the present one, nor about the runner that started after
+        // it.
         if host.number != number || host.operation.is_none() || host.carried_out {
             return;
         }
         match outcome {
             Outcome::Done => self.mark_carried_out(key, now),
             Outcome::Unknown => host.in_doubt = true,
-            // It may be away because of an earlier try; the host list shows it, or the next try finds it done.
+            // The host may be away because of an earlier attempt. The host list shows that, or the next attempt is
+            // answered as done.
             Outcome::Busy | Outcome::Refused
                 if host.in_doubt && now < host.closed_since.unwrap_or(now) + DOUBT_LIMIT => {}
             _ => {
@@ -427,7 +439,7 @@
         }
     }
 
-    /// Notes that an order to a host was carried out: the runner that it had is gone.
+    /// Records that an order to a host was carried out, which ends the runner that it had.
     fn mark_carried_out(&mut self, key: host::Key, now: Time) {
         let host = &mut self.fleet.hosts[key];
         host.carried_out = true;
@@ -445,7 +457,7 @@
     }
 }
 
-/// Returns the name of an outcome in logs.
+/// Returns the name of an outcome for logs.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Done => "done",
--- a/crates/schedule/src/engine/mod.rs
+++ b/crates/schedule/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine of the leader.
+//! The scheduling engine, which the leader runs.
 
 mod admit;
 mod advice;
--- a/crates/schedule/src/engine/pace.rs
+++ b/crates/schedule/src/engine/pace.rs
@@ -1,4 +1,4 @@
-//! Slowing down tasks that fill, for the sake of tasks that serve beside them.
+//! Slows down background tasks for the sake of serving tasks on the same runner.
 
 use super::Engine;
 use crate::{
@@ -16,21 +16,22 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Time between two changes; a runner's figures cover the last half second.
-const INTERVAL: Duration = Duration::from_millis(700);
-/// Percentage of the target above which the tasks that fill are slowed down.
+/// Time between two changes of a share. Runners report latencies over the last half second, so an earlier change would
+/// not see the effect of the last one.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
+/// Tail latency in percent of the target above which background tasks are slowed down.
 const HIGH_PERCENT: u64 = 85;
-/// Percentage of the target below which they are sped up.
+/// Tail latency in percent of the target below which they are sped up.
 const LOW_PERCENT: u64 = 55;
-/// Share of a first slowdown in percent; the second one stops the work.
+/// Share in percent after a first slowdown; a second one stops the task's work.
 const SLOW_SHARE_PERCENT: u8 = 30;
-/// Increase of the share in percent.
+/// Increase of the share by one step, in percent.
 const RAISE_PERCENT: u8 = 25;
-/// The whole share in percent.
+/// Share of a task at full speed, in percent.
 const FULL_SHARE_PERCENT: u8 = 100;
 
 impl Engine {
-    /// Adapts the share of the tasks that fill to the response times of the tasks that serve beside them.
+    /// Adjusts the shares of background tasks to the latencies of the serving tasks on the same runner.
     pub(super) fn pace(&mut self, now: Time) {
         let keys: Vec<runner::Key> = self.runners.keys().collect();
         for key in keys {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Returns the worst response time at a runner in percent of its target.
+    /// Returns the highest tail latency on a runner in percent of its target, or `None` if no serving task runs there.
     fn worst_latency_percent(&self, key: runner::Key) -> Option<u64> {
         let runs = self.runners[key].runs.iter().map(|&run| &self.runs[run]);
         let latency_percent = |run: &crate::job::Run| {
@@ -57,7 +58,10 @@
         for run in self.runners[key].runs.clone() {
             let known = &self.runs[run];
             let fills = self.step_spec(known.task).is_some_and(|step| step.fills);
-            if !fills || known.stage != Stage::Running || now < known.pace_ordered_at + INTERVAL {
+            if !fills
+                || known.stage != Stage::Running
+                || now < known.pace_ordered_at + CHANGE_INTERVAL
+            {
                 continue;
             }
             let share = next_share(known.pace_percent, latency_percent);
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Takes the answer to a change of pace. A share that may not have been set is ordered again.
+    /// Handles the answer to a change of a share. A share that may not have been set is ordered again.
     pub(super) fn handle_pace(&mut self, key: run::Key, percent: u8, answer: &Answer<()>) {
         if answer.result.is_ok()
             && let Some(run) = self.runs.get_mut(key)
@@ -99,7 +103,7 @@
     }
 }
 
-/// Returns the next share of a task that fills.
+/// Returns the next share of a background task, in percent.
 fn next_share(share: u8, latency_percent: u64) -> u8 {
     if latency_percent > HIGH_PERCENT {
         return if share > SLOW_SHARE_PERCENT {
--- a/crates/schedule/src/engine/place.rs
+++ b/crates/schedule/src/engine/place.rs
@@ -1,4 +1,4 @@
-//! Choice of a runner for each task that waits.
+//! Placement: choice of a runner for each waiting task.
 
 use super::Engine;
 use crate::{
@@ -18,28 +18,29 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::Step;
 
-/// Steps that did not fit, after which a round of placement ends. It bounds the time of a round while many jobs wait.
+/// Number of steps without a runner after which a round of placement ends. It bounds the time of a round while many
+/// jobs wait.
 const UNPLACED_LIMIT: usize = 24;
 
-/// How badly a runner suits a task; smaller is better.
+/// Cost of running a task on a runner; smaller is better. The fields are compared in their order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Score {
-    /// The task is slower there, or disturbs others.
+    /// Number of reasons why the task is slower there or slows down others.
     unsuited: u8,
-    /// Jobs that failed there in a row.
+    /// Number of tasks that failed there in a row.
     failures: u32,
-    /// Tasks that ask for its labels or its rack need it, and this one does not.
+    /// Whether the runner's labels are scarce and the task does not need them.
     labels_scarce: bool,
-    /// It has no task that lasts, so its host could be given away.
+    /// Whether the runner has no long-running task, so that its host could move to another pool.
     movable: bool,
-    /// Tasks of the same step in the same rack, for tasks that last.
+    /// For a long-running task, the number of tasks of the same step in the same rack.
     together: usize,
-    /// Share of the capacity that is free; full runners come first, so that others become empty.
+    /// Share of the capacity that is free. Full runners are preferred, so that others become empty.
     free: f64,
 }
 
 impl Engine {
-    /// Plans the start of tasks that wait, as far as there is room.
+    /// Plans runs of waiting tasks, as far as there is capacity.
     pub(super) fn place(&mut self, now: Time) {
         let pools: Vec<key::Pool> = self.pools.keys().collect();
         for pool in pools {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Plans a task, or all members of its gang. Returns whether it did.
+    /// Plans a run of a task, or of all members of its gang, and returns whether it did.
     fn place_task(&mut self, task: TaskKey, now: Time) -> bool {
         let Some(active) = self.jobs.get(task.job_key) else {
             return false;
@@ -87,7 +88,7 @@
         true
     }
 
-    /// Plans a second run of a task beside its first one, if there is room that nobody waits for.
+    /// Plans a second run of a speculative task, if it has one run and no task of the pool waits.
     pub(super) fn place_speculative(&mut self, task: TaskKey, now: Time) {
         let Some(active) = self.jobs.get(task.job_key) else {
             return;
@@ -107,13 +108,13 @@
         }
     }
 
-    /// Tells whether a task could run elsewhere than at `place`.
+    /// Returns whether a runner other than `runner_key` has capacity for a task.
     pub(super) fn fits_elsewhere(&self, task: TaskKey, runner_key: runner::Key, now: Time) -> bool {
         let other = self.choose_runner(task, Some(runner_key), now);
         other.is_some_and(|other| other != runner_key)
     }
 
-    /// Returns the best runner for a task that has room for it.
+    /// Returns the best runner for a task among those with enough capacity.
     pub(super) fn choose_runner(
         &self,
         task: TaskKey,
@@ -129,7 +130,7 @@
         self.choose(task.step(), avoid, now, room)
     }
 
-    /// Returns the best runner for a task of the step among those that have `room`.
+    /// Returns the best runner for a task of the step among those for which `room` returns true.
     pub(super) fn choose(
         &self,
         step: StepKey,
@@ -168,28 +169,28 @@
     }
 
     fn score(&self, step: StepKey, spec: &Step, key: runner::Key, runner: &Runner) -> Score {
-        let far = spec
+        let other_rack = spec
             .rack
             .as_ref()
             .is_some_and(|rack| *runner.rack != **rack);
         let disturbs = (spec.fills && self.has_serving_run(key))
             || (spec.target.is_some() && self.has_background_run(key));
-        let mut asked = spec.label.iter().chain(&spec.rack);
+        let mut required = spec.label.iter().chain(&spec.rack);
         let together = match spec.lasting {
             true => self.count_in_rack(step, &runner.rack),
             false => 0,
         };
         Score {
-            unsuited: u8::from(far) + u8::from(disturbs),
+            unsuited: u8::from(other_rack) + u8::from(disturbs),
             failures: runner.failures,
-            labels_scarce: runner.labels_scarce && !asked.any(|label| runner.has_label(label)),
+            labels_scarce: runner.labels_scarce && !required.any(|label| runner.has_label(label)),
             movable: !self.has_long_running(key),
             together,
             free: 1.0 - runner.capacity.share(runner.used),
         }
     }
 
-    /// Returns the number of a step's runs at a runner.
+    /// Returns the number of a step's runs on a runner.
     pub(super) fn count(&self, key: runner::Key, step: StepKey) -> usize {
         let runs = self.runners[key].runs.iter();
         runs.filter(|&&run| self.runs[run].task.step() == step)
@@ -208,7 +209,7 @@
         runners.filter(|runner| *runner.rack == *rack).count()
     }
 
-    /// Tells whether a task with a bound on its response times runs at a runner.
+    /// Returns whether a serving task, which has a target for its latency, runs on a runner.
     pub(super) fn has_serving_run(&self, key: runner::Key) -> bool {
         let mut runs = self.runners[key].runs.iter();
         runs.any(|&run| {
@@ -217,7 +218,7 @@
         })
     }
 
-    /// Tells whether a task that fills runs at a runner.
+    /// Returns whether a background task runs on a runner.
     pub(super) fn has_background_run(&self, key: runner::Key) -> bool {
         let mut runs = self.runners[key].runs.iter();
         runs.any(|&run| {
@@ -226,7 +227,7 @@
         })
     }
 
-    /// Returns the step of a task as its caller described it.
+    /// Returns the specification of a task's step.
     pub(super) fn step_spec(&self, task: TaskKey) -> Option<&Step> {
         let active = self.jobs.get(task.job_key)?;
         active.job.steps.get(usize::from(task.step))
--- a/crates/schedule/src/engine/poll.rs
+++ b/crates/schedule/src/engine/poll.rs
@@ -1,4 +1,4 @@
-//! When to look at a runner, and what follows from what it shows.
+//! Polling of runners, and handling of the states that they report.
 
 use super::Engine;
 use crate::{
@@ -29,11 +29,12 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Wait of a look while short tasks run, or while runs are being stopped or are in doubt.
+/// Longest time that a runner holds a poll open while it runs short tasks, or while its runs are being stopped or are
+/// in doubt.
 const SHORT_WAIT: Duration = Duration::from_millis(300);
 
 impl Engine {
-    /// Orders the looks that are due. Leases are renewed only if `may_order`.
+    /// Orders the polls that are due. They renew leases only if `may_order`.
     pub(super) fn poll_runners(&mut self, may_order: bool, now: Time) {
         let keys: Vec<runner::Key> = self.runners.keys().collect();
         for key in keys {
@@ -49,8 +50,8 @@
             let rules = self.rules;
             let runner = &mut self.runners[key];
             runner.poll_sent = Some(now);
-            // Without runs there is no lease to renew. A renewal that gets no answer would put off the time from which
-            // the runs count as ended.
+            // Without runs there is no lease to renew. A renewal for a runner that does not answer would postpone the
+            // time from which its runs count as ended.
             let renews = may_order && !runner.runs.is_empty() && runner.misses == 0;
             let until = match renews {
                 true => runner.renew_lease(rules.lease, &rules, now),
@@ -66,26 +67,27 @@
         }
     }
 
-    /// Returns how long a look may wait for an end.
+    /// Returns how long a runner may hold a poll open until a run ends.
     fn poll_wait(&self, runner: &Runner) -> Duration {
-        // A runner answers at once as long as it lists ends that are not acknowledged.
-        let silent = !runner.fenced || runner.misses > 0 || runner.durable_end < runner.last_end;
-        if silent || runner.runs.is_empty() {
+        // A runner answers at once while it has ends that were not acknowledged.
+        let answers_at_once =
+            !runner.fenced || runner.misses > 0 || runner.durable_end < runner.last_end;
+        if answers_at_once || runner.runs.is_empty() {
             return Duration::ZERO;
         }
-        // Short tasks show in time how they get on.
-        let calm = |run: &run::Key| {
+        // Short tasks report their progress more often.
+        let is_quiet = |run: &run::Key| {
             let run = &self.runs[*run];
             let lasting = self.step_spec(run.task).is_some_and(|step| step.lasting);
             lasting && matches!(run.stage, Stage::Running | Stage::Planned)
         };
-        match runner.runs.iter().all(calm) {
+        match runner.runs.iter().all(is_quiet) {
             true => self.rules.poll_wait,
             false => SHORT_WAIT.min(self.rules.poll_wait),
         }
     }
 
-    /// Takes the answer to a look.
+    /// Handles the answer to a poll.
     pub(super) fn handle_poll(
         &mut self,
         key: runner::Key,
@@ -119,14 +121,14 @@
         }
     }
 
-    /// Sets when the next look is due after one that was answered.
+    /// Sets when the next poll is due after one that was answered.
     fn schedule_next_poll(&mut self, key: runner::Key, now: Time) {
         let rules = self.rules;
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
         let pause = if runner.durable_end < runner.last_end {
-            // The next look follows as soon as the ends are durable; until then it would be answered at once.
+            // The next poll follows as soon as the ends are in the log; before that it would be answered at once.
             rules.retry_interval
         } else if runner.acknowledged < runner.durable_end || !runner.runs.is_empty() {
             rules.poll_gap
@@ -136,7 +138,7 @@
         runner.poll_at = now + pause;
     }
 
-    /// Takes what a runner shows at `clock`. It was asked at `sent`.
+    /// Handles the state that a runner reported at `clock` in answer to a poll sent at `sent`.
     fn handle_view(
         &mut self,
         key: runner::Key,
@@ -152,11 +154,11 @@
             .map(|end| (end.task, end.attempt))
             .collect();
         self.handle_ends(key, view.ended, now);
-        let mut shown: Vec<run::Key> = Vec::new();
+        let mut listed: Vec<run::Key> = Vec::new();
         for row in view.running {
             match self.find_run(key, &row) {
                 Some(run) => {
-                    shown.push(run);
+                    listed.push(run);
                     self.handle_running(run, row, clock, sent, now);
                 }
                 None => self.stop_unknown_run(key, &row, now),
@@ -170,12 +172,14 @@
         };
         let is_missing = |run: &run::Key| {
             let known = &self.runs[*run];
-            let answered_at = match known.stage {
+            let should_be_listed = match known.stage {
                 Stage::Planned | Stage::Ordered => false,
                 Stage::Inherited => true,
                 Stage::Running | Stage::Stopping => known.answered_at.is_some_and(|at| at <= sent),
             };
-            answered_at && !shown.contains(run) && !ended.contains(&(known.task_id, known.attempt))
+            should_be_listed
+                && !listed.contains(run)
+                && !ended.contains(&(known.task_id, known.attempt))
         };
         let lost: Vec<run::Key> = runner.runs.iter().copied().filter(is_missing).collect();
         for run in lost {
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Returns the run that a runner lists.
+    /// Returns the run that a runner reports, if the engine knows it.
     fn find_run(&self, key: runner::Key, row: &Running) -> Option<run::Key> {
         let job_key = *self.job_index.get(&row.task.job)?;
         let position = row.task.position;
@@ -199,7 +203,7 @@
         })
     }
 
-    /// Takes what a runner shows of a run.
+    /// Handles what a runner reports of a run that is alive.
     fn handle_running(
         &mut self,
         key: run::Key,
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Stops a run that is listed, but that nobody should run.
+    /// Stops a run that a runner reports and the engine does not know.
     fn stop_unknown_run(&mut self, key: runner::Key, row: &Running, now: Time) {
         let Some(target) = self.target(key) else {
             return;
@@ -248,13 +252,13 @@
             task: row.task,
             attempt: row.attempt,
         }));
-        // What it takes of the capacity is unknown, so nothing starts beside it.
+        // Its use of the runner's capacity is unknown, so no task starts there until it has stopped.
         if let Some(runner) = self.runners.get_mut(key) {
             runner.quarantined_until = runner.quarantined_until.max(now + self.rules.stop_limit);
         }
     }
 
-    /// Takes a runner's clock from an answer.
+    /// Records a sample of a runner's clock from an answer.
     pub(super) fn read_clock(&mut self, key: runner::Key, clock_ms: Option<u64>, now: Time) {
         if let Some(clock_ms) = clock_ms
             && let Some(runner) = self.runners.get_mut(key)
@@ -266,7 +270,7 @@
         }
     }
 
-    /// Notes that a runner has answered an order of this leader.
+    /// Records that a runner has answered an order of this leader.
     fn mark_reachable(&mut self, key: runner::Key, now: Time) {
         let runner = &mut self.runners[key];
         runner.fenced = true;
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Notes that a runner did not answer.
+    /// Records that a runner did not answer.
     pub(super) fn mark_unreachable(&mut self, key: runner::Key, failure: Failure, now: Time) {
         let retry_interval = self.rules.retry_interval;
         let Some(runner) = self.runners.get_mut(key) else {
--- a/crates/schedule/src/engine/report.rs
+++ b/crates/schedule/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! What came of orders.
+//! Handling of the results of orders.
 
 use super::Engine;
 use crate::{
@@ -16,11 +16,11 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Time for which a runner gets no work after it turned a start away.
+/// Time for which a runner gets no tasks after it refused a start.
 const BACK_OFF: Duration = Duration::from_millis(500);
 
 impl Engine {
-    /// Takes what came of an order.
+    /// Handles the result of an order.
     pub fn report(&mut self, report: Report, now: Time) {
         match report {
             Report::Start { run, answer } => self.handle_start(run, answer, now),
@@ -40,12 +40,12 @@
                 answer,
             } => self.handle_pace(run, percent, &answer),
             Report::Advice { step, approved } => self.handle_advice(step, approved, now),
-            Report::Hosts(hosts) => self.handle_hosts(hosts, now),
+            Report::Hosts(hosts) => self.handle_host_list(hosts, now),
             Report::Host {
                 host,
                 number,
                 outcome,
-            } => self.handle_host(host, number, outcome, now),
+            } => self.handle_host_result(host, number, outcome, now),
         }
     }
 
@@ -73,7 +73,7 @@
             Err(Failure::Unknown) => {
                 let run = run.clone();
                 self.note_run(Kind::StartUnknown, "no-answer", &run, now);
-                // A stop makes the start impossible, should it be carried out later.
+                // The stop prevents the start if that arrives later.
                 self.stop(key, "start-unknown", now);
                 self.mark_unreachable(runner_key, Failure::Unknown, now);
             }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Draws the consequence for a runner that turned a start away.
+    /// Updates a runner that refused a start.
     fn handle_refused_start(&mut self, key: runner::Key, failure: Failure, now: Time) {
         match failure {
             Failure::Unsent => self.mark_unreachable(key, failure, now),
@@ -121,12 +121,12 @@
             }
             Err(Failure::Fenced) => self.superseded = true,
             Err(Failure::Replaced) => self.end_incarnation(runner_key, "replaced", now),
-            // The stop is ordered again, and a look shows whether the runner answers at all.
+            // The stop is ordered again, and a poll finds out whether the runner answers at all.
             Err(_) => self.poll_soon(runner_key, now),
         }
     }
 
-    /// Makes a look at a runner due.
+    /// Makes the next poll of a runner due soon.
     pub(super) fn poll_soon(&mut self, key: runner::Key, now: Time) {
         let gap = self.rules.poll_gap;
         if let Some(runner) = self.runners.get_mut(key) {
--- a/crates/schedule/src/engine/restore.rs
+++ b/crates/schedule/src/engine/restore.rs
@@ -1,4 +1,4 @@
-//! Jobs of the former leader.
+//! Restoring of jobs of former leaders from the log.
 
 use super::Engine;
 use crate::{
@@ -26,7 +26,8 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Takes a job from the log with all that may still run of it. The runners that are listed have to be known.
+    /// Restores a job from the log, with the runs that may still be alive. The runners in the service list must have
+    /// been added before.
     pub fn restore_job(&mut self, entry: &Entry, wall: Time, now: Time) {
         let Some(job) = &entry.job else {
             return;
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Notes a run that may exist, unless the life of its runner is known to be over.
+    /// Restores a run that may be alive, unless the incarnation of its runner is known to be over.
     fn restore_run(&mut self, task: TaskKey, assignment: &Assignment, now: Time) {
         let Some(runner) = self.find_runner(task, assignment, now) else {
             return;
@@ -136,6 +137,8 @@
         self.occupy(run, runner, need, now);
     }
 
+    /// Returns the runner of an assignment, which is added if it is not in the service list; `None` if that incarnation
+    /// is over.
     fn find_runner(
         &mut self,
         task: TaskKey,
--- a/crates/schedule/src/engine/run.rs
+++ b/crates/schedule/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! Beginning, stopping and releasing runs.
+//! Starting, stopping and releasing of runs.
 
 use super::{
     Engine,
@@ -29,7 +29,7 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Plans an attempt of a task at a runner; it starts once the log holds it.
+    /// Plans a run of a task on a runner. It starts once the log has it.
     pub(super) fn plan(
         &mut self,
         task: TaskKey,
@@ -76,7 +76,7 @@
         self.note_run(Kind::Placed, "room", &run, now);
     }
 
-    /// Adds a run to what its runner holds.
+    /// Adds a run to its runner and takes its resources.
     pub(super) fn occupy(&mut self, run: run::Key, runner: runner::Key, need: Resource, now: Time) {
         let runner = &mut self.runners[runner];
         runner.used += need;
@@ -104,7 +104,7 @@
         let Some(runner) = self.runners.get_mut(runner_key) else {
             return;
         };
-        // A runner that has just been renewed keeps that lease; another one gets a short lease until its first look.
+        // A runner whose lease was just renewed keeps it. Another one gets a short lease until its first poll.
         let renewed = runner.runs_until > now + rules.first_lease;
         let span = match renewed && runner.misses == 0 {
             true => rules.lease.saturating_sub(rules.poll_wait),
@@ -130,7 +130,7 @@
         }));
     }
 
-    /// Returns the address of a runner for orders.
+    /// Returns the target of orders to a runner, or `None` if its address is unknown.
     pub(super) fn target(&self, key: runner::Key) -> Option<Target> {
         let runner = self.runners.get(key)?;
         Some(Target {
@@ -141,7 +141,7 @@
         })
     }
 
-    /// Stops a run, or drops it if it was not ordered yet.
+    /// Stops a run, or releases it if its start was not ordered yet.
     pub(super) fn stop(&mut self, key: run::Key, reason: &'static str, now: Time) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
@@ -161,7 +161,7 @@
         self.order_stop(key, now);
     }
 
-    /// Orders a run to stop, once more if need be.
+    /// Orders a run to stop, for the first time or again.
     pub(super) fn order_stop(&mut self, key: run::Key, now: Time) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
@@ -178,14 +178,14 @@
         }
     }
 
-    /// Takes a run away from its task and its runner, and lets the task start again. Returns the run.
+    /// Removes a run from its task and its runner, lets the task start again, and returns the run.
     pub(super) fn release(&mut self, key: run::Key) -> Option<Run> {
         let run = self.detach(key)?;
         self.make_ready(run.task);
         Some(run)
     }
 
-    /// Takes a run away from its task and its runner. Returns it.
+    /// Removes a run from its task and its runner, and returns it.
     pub(super) fn detach(&mut self, key: run::Key) -> Option<Run> {
         let run = self.runs.remove(key)?;
         if let Some(runner) = self.runners.get_mut(run.runner) {
@@ -207,14 +207,14 @@
         Some(run)
     }
 
-    /// Releases a run that has not begun to work and never will.
+    /// Releases a run that has not started and never will.
     pub(super) fn abandon(&mut self, key: run::Key, now: Time) {
         if let Some(run) = self.release(key) {
             self.break_gang(&run, now);
         }
     }
 
-    /// Releases a run that can't exist any more, although its end was not seen.
+    /// Releases a run that is known to be over, although its end was not reported.
     pub(super) fn lose(&mut self, key: run::Key, reason: &'static str, now: Time) {
         if let Some(run) = self.release(key)
             && run.stage != Stage::Planned
@@ -225,7 +225,7 @@
     }
 }
 
-/// Returns the name of a task.
+/// Returns the identity of a task in orders and in the log.
 pub(super) fn task_id(job: sassafrascrank_job::Id, task: TaskKey) -> id::Task {
     id::Task {
         job,
--- a/crates/schedule/src/engine/runners.rs
+++ b/crates/schedule/src/engine/runners.rs
@@ -1,4 +1,4 @@
-//! Runners that come and go.
+//! Adding, updating and removing of runners.
 
 use super::Engine;
 use crate::{
@@ -17,7 +17,7 @@
 use sassafrascrank_base::prelude::*;
 
 impl Engine {
-    /// Takes a change of the service list.
+    /// Applies a change of the service list.
     pub fn update_runner(&mut self, change: Change, now: Time) {
         match change {
             Change::Set(listed) => self.set_listed(&listed, now),
@@ -44,7 +44,7 @@
             self.end_incarnation(key, "reborn", now);
         }
         self.end_earlier_incarnations(listed, now);
-        // Only runs of a former leader can run there, if any; nothing starts before the first answer.
+        // Only runs of former leaders can be alive there. No task starts there before the first answer.
         let runner = Runner::new(listed, pool, self.former_runs_until, now);
         let key = self.runners.insert(runner);
         self.runner_index.insert(listed.id.clone(), key);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Ends earlier lives on the host of a runner: a host has one runner at a time.
+    /// Ends earlier incarnations on the host of a runner, since a host has one runner at a time.
     fn end_earlier_incarnations(&mut self, listed: &Listed, now: Time) {
         if listed.host.is_empty() {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Ends a life of a runner: nothing that it ran runs any more.
+    /// Ends an incarnation of a runner, and with it all its runs.
     pub(super) fn end_incarnation(&mut self, key: runner::Key, reason: &'static str, now: Time) {
         let Some(runner) = self.runners.get(key) else {
             return;
@@ -101,7 +101,7 @@
         self.note(Note::new(Kind::RunnerGone, reason, now).with_place(&id));
     }
 
-    /// Drops a runner that is not listed and runs nothing.
+    /// Removes a runner that is not listed and has no runs.
     pub(super) fn drop_unlisted(&mut self, key: runner::Key, now: Time) {
         let Some(runner) = self.runners.get(key) else {
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Gives up the runs at runners that don't answer, once their leases have ended.
+    /// Gives up the runs on runners that do not answer, once their leases have ended.
     pub(super) fn expire_leases(&mut self, now: Time) {
         let silent = |runner: &Runner| {
             let reachable = runner.fenced && runner.misses == 0 && runner.address.is_some();
--- a/crates/schedule/src/engine/store.rs
+++ b/crates/schedule/src/engine/store.rs
@@ -1,4 +1,4 @@
-//! What the log has to hold, and what may happen once it does.
+//! Records for the log, and the effects that follow once the log has them.
 
 use super::{
     Engine,
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Tells whether the log lacks anything.
+    /// Returns whether there are records that the log lacks.
     pub fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
             || !self.effects.is_empty()
@@ -30,8 +30,8 @@
             || self.fleet.demand.unstored
     }
 
-    /// Returns the records that the log lacks, unless earlier ones are on their way. Call [`records_stored`](Self::records_stored)
-    /// once the log holds them.
+    /// Returns the records that the log lacks, or `None` if there are none or earlier ones are still being appended.
+    /// The caller calls [`records_stored`](Self::records_stored) once the log has them.
     pub fn take_records(&mut self) -> Option<Vec<Record>> {
         if self.storing.is_some() || !self.is_dirty() {
             return None;
@@ -71,7 +71,7 @@
         Some(records)
     }
 
-    /// Notes that the log holds the records that were last taken.
+    /// Records that the log has the records that were last taken, and applies the effects of their decisions.
     pub fn records_stored(&mut self, now: Time) {
         for effect in self.storing.take().unwrap_or_default() {
             match effect {
@@ -88,17 +88,17 @@
         }
     }
 
-    /// Orders the starts that the log holds.
+    /// Orders the starts that are in the log.
     pub(super) fn start_stored(&mut self, now: Time) {
         for run in core::mem::take(&mut self.startable) {
             self.order_start(run, now);
         }
     }
 
-    /// Orders the hosts that the log names as ordered.
+    /// Gives the orders to hosts that are in the log.
     pub(super) fn order_stored(&mut self, now: Time) {
         let mut hosts = core::mem::take(&mut self.orderable);
-        // A host that was named again while the log was away has one order.
+        // A host whose order was stored twice, while the log was unavailable, gets it once.
         hosts.sort_unstable();
         hosts.dedup();
         for host in hosts {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns the durable state of a job.
+    /// Returns the state of a job for the log.
     fn progress(&self, active: &ActiveJob) -> Progress {
         let tasks = active.occurrences.iter();
         let tasks = tasks
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the tasks of an occurrence that the log has to hold.
+    /// Returns the state of those tasks of an occurrence that the log needs.
     fn tasks<'a>(
         &'a self,
         active: &'a ActiveJob,
--- a/crates/schedule/src/engine/straggler.rs
+++ b/crates/schedule/src/engine/straggler.rs
@@ -1,8 +1,8 @@
-//! Runners on which tasks are much slower than they should be, or stand still.
+//! Detection of runners on which tasks are much slower than usual or make no progress.
 //!
-//! A runner shows the progress of what it runs, from which the whole time of each run follows. A runner whose runs take
-//! a multiple of the time of other tasks of their steps gets no work for a while. Its runs start again elsewhere if they
-//! would end sooner there; a speculative task gets a second run beside the first one.
+//! Runners report the progress of their runs, from which the duration of each run is projected. A runner whose runs
+//! take a multiple of the usual duration is quarantined. Its runs are restarted elsewhere if they would end sooner
+//! there; a speculative task gets a second run beside the first one.
 
 use super::Engine;
 use crate::{
@@ -23,42 +23,47 @@
 use sassafrascrank_job::Step;
 use std::collections::BTreeSet;
 
-/// Time between two rounds.
+/// Time between two searches for slow runners.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time between two views of a run from which its speed is taken.
+/// Shortest time between two reports of a run from which its duration is projected.
 const MIN_SPAN: Duration = Duration::from_millis(150);
-/// Time without progress after which a run stands still, and the same as a part of the usual time of the task, in
-/// percent: progress is shown in whole percent, so that long tasks seldom show any.
+/// Shortest time without progress after which a run counts as standing still.
 const STANDSTILL_MIN: Duration = Duration::from_millis(600);
+/// The same in percent of the task's usual duration. Progress is reported in whole percent, so that long tasks seldom
+/// show any.
 const STANDSTILL_PERCENT: u32 = 4;
-/// Restarts of a task for the sake of time. A runner whose figures are wrong would otherwise keep a task from its end.
+/// Largest number of restarts of a task because of slow runs. Without it, runners that report wrong progress could keep
+/// a task from ever ending.
 const RESTART_LIMIT: u8 = 2;
-/// Multiple of the usual time, in percent, at which a runner is slow. Single tasks of a step take up to four times as
-/// long as others.
+/// Duration of runs in percent of the usual one from which a runner counts as slow. Single tasks of a step take up to
+/// four times as long as others, so the median over several runs is compared.
 const SLOW_PERCENT: u64 = 350;
-/// Runs from which the speed of a runner is taken, and jobs that they belong to, at the least.
+/// Smallest number of runs from which the speed of a runner is derived.
 const MIN_RUNS: usize = 4;
+/// Smallest number of jobs that these runs belong to.
 const MIN_JOBS: usize = 2;
-/// Time for which a slow runner gets no work, doubled each time in a row.
+/// Time for which a slow runner gets no tasks, doubled for each quarantine in a row.
 const QUARANTINE: Duration = Duration::from_millis(1_500);
-/// Limit on that growth, in doublings.
+/// Largest number of times that this time doubles.
 const QUARANTINE_DOUBLINGS: u32 = 2;
-/// Part of a pool that may rest at once, as a divisor; a pool that is slow as a whole is better than none.
+/// Divisor of a pool's size, which yields the number of its runners that may be in quarantine at once. A pool that is
+/// slow as a whole is better than none.
 const QUARANTINE_DIVISOR: usize = 4;
-/// Time that a restart has to gain at least.
+/// Shortest time that a restart has to save.
 const MIN_GAIN: Duration = Duration::from_millis(200);
-/// Weight of a new sample, as a divisor, in the usual ratio of a queue's actual times to the callers' estimates.
+/// Divisor of the weight of a new sample in the mean ratio of actual durations to the callers' estimates.
 const SAMPLE_WEIGHT_DIVISOR: u64 = 16;
-/// Bounds of that ratio in percent, so that a few odd jobs don't distort it.
+/// Smallest sample of that ratio in percent. The bounds keep a few unusual jobs from distorting the mean.
 const RATIO_MIN_PERCENT: u64 = 30;
+/// Largest sample of that ratio in percent.
 const RATIO_MAX_PERCENT: u64 = 300;
 
 /// Why a runner is slow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Cause {
-    /// Its runs take so many percent of their usual time.
+    /// The runs take this many percent of their usual duration.
     Slow(u64),
-    /// A run stands still.
+    /// A run makes no progress.
     Standstill,
 }
 
@@ -71,34 +76,34 @@
     }
 }
 
-/// How a run gets on.
+/// Speed of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Speed {
     run: run::Key,
-    /// Whole time, if it goes on like this; `None` for a run that stands still.
+    /// Projected duration of the whole task; `None` for a run that makes no progress.
     projected: Option<Duration>,
-    /// Usual time of such a task.
+    /// Usual duration of such a task.
     usual_duration: Duration,
     /// Progress in percent.
     percent_done: u8,
 }
 
 impl Speed {
-    /// Returns the whole time in percent of the usual time.
+    /// Returns the projected duration in percent of the usual one.
     fn percent_of_usual(&self) -> Option<u64> {
         let usual_duration = self.usual_duration.as_millis().max(1) as u64;
         self.projected
             .map(|projected| projected.as_millis() as u64 * 100 / usual_duration)
     }
 
-    /// Returns the time that is left, if it goes on like this.
+    /// Returns the projected time until the run ends.
     fn remaining(&self) -> Duration {
         let missing = u32::from(100 - self.percent_done.min(100));
         self.projected
             .map_or(Duration::MAX, |projected| projected * missing / 100)
     }
 
-    /// Returns the time of a new run elsewhere.
+    /// Returns the projected duration of a new run elsewhere.
     fn rerun_duration(&self, cause: Cause) -> Duration {
         match (cause, self.projected) {
             (Cause::Slow(percent), Some(projected)) => projected * 100 / percent.max(1) as u32,
@@ -108,7 +113,7 @@
 }
 
 impl Engine {
-    /// Notes how long a task has taken that is done.
+    /// Records the duration of a run that completed its task.
     pub(super) fn record_duration(&mut self, run: &Run, now: Time) {
         let Some(spec) = self.step_spec(run.task) else {
             return;
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Finds slow runners and takes their runs away.
+    /// Quarantines slow runners and restarts their runs elsewhere.
     pub(super) fn handle_stragglers(&mut self, now: Time) {
         if now < self.stragglers_checked + CHECK_INTERVAL {
             return;
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Returns how the runs of a runner get on, as far as that is known.
+    /// Returns the speeds of the runs of a runner, as far as they are known.
     fn speeds(&self, key: runner::Key) -> Vec<Speed> {
         let runner = &self.runners[key];
         if runner.misses > 0 || !runner.fenced {
@@ -169,7 +174,8 @@
     fn measure_speed(&self, key: run::Key) -> Option<Speed> {
         let run = &self.runs[key];
         let spec = self.step_spec(run.task)?;
-        // A gang waits for its members, what fills is slowed down on purpose, and what lasts has no end.
+        // Members of a gang wait for each other, background tasks are slowed down on purpose, and long-running tasks
+        // have no end.
         let steady = !(spec.gang || spec.fills || spec.lasting || spec.estimate.is_zero());
         if !steady || run.stage != Stage::Running {
             return None;
@@ -186,8 +192,8 @@
         })
     }
 
-    /// Returns the usual time of a task: that of the tasks of its step that are done, or of those that run elsewhere, or
-    /// what follows from its caller's estimate.
+    /// Returns the usual duration of a task: the median over the tasks of its step that are done or run on other
+    /// runners, or else the caller's estimate times the usual ratio of its queue.
     fn usual_duration(&self, run: &Run, spec: &Step) -> Option<Duration> {
         let active = self.jobs.get(run.task.job_key)?;
         let occurrence = active.occurrence(run.task.occurrence)?;
@@ -208,7 +214,7 @@
         Some(median.unwrap_or(spec.estimate * ratio_percent / 100))
     }
 
-    /// Returns why a runner is slow, if it is.
+    /// Returns why a runner is slow, or `None` if it is not.
     fn slow_cause(&self, speeds: &[Speed]) -> Option<Cause> {
         if speeds.iter().any(|speed| speed.projected.is_none()) {
             return Some(Cause::Standstill);
@@ -224,7 +230,7 @@
         (median >= SLOW_PERCENT).then_some(Cause::Slow(median))
     }
 
-    /// Lets a runner rest, unless it does already.
+    /// Quarantines a runner, unless it is in quarantine already or too many of its pool are.
     fn quarantine_runner(&mut self, key: runner::Key, cause: Cause, now: Time) {
         let pool = &self.pools[self.runners[key].pool].runners;
         let quarantined = pool
@@ -242,7 +248,7 @@
         self.note(Note::new(Kind::RunnerQuarantined, cause.as_str(), now).with_place(&id));
     }
 
-    /// Stops a run that would end later than a new one elsewhere, or adds a second run.
+    /// Stops a run that would end later than a new one elsewhere, or adds a second run of a speculative task.
     fn restart(&mut self, speed: Speed, cause: Cause, now: Time) {
         let run = &self.runs[speed.run];
         let (task, runner_key) = (run.task, run.runner);
--- a/crates/schedule/src/engine/tick.rs
+++ b/crates/schedule/src/engine/tick.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about.
+//! Periodic decisions.
 
 use super::Engine;
 use crate::job::{
@@ -11,8 +11,8 @@
 use sassafrascrank_base::prelude::*;
 
 impl Engine {
-    /// Decides what follows from all that was reported. `wall` is the time of day; orders are given only if
-    /// `may_order`.
+    /// Makes all decisions that are due, from all that was reported. `wall` is the time of day. Without `may_order`, it
+    /// starts, stops and moves nothing, and polls renew no leases.
     pub fn tick(&mut self, may_order: bool, wall: Time, now: Time) {
         self.open_repeated(wall, now);
         self.expire_leases(now);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Orders stops again that were not answered.
+    /// Repeats orders to stop that were not answered.
     fn repeat_stops(&mut self, now: Time) {
         let pause = self.rules.stop_retry_interval;
         let due = |run: &job::Run| {
