--- a/crates/schedule/tests/engine/harness/mod.rs
+++ b/crates/schedule/tests/engine/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness: an engine with simulated runners and hosts that execute its orders at once, in virtual time.
+//! An engine with runners and hosts that carry out its orders at once, in virtual time.
 
 mod execute;
 mod fixture;
