--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -9,10 +9,10 @@
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Site,
+    Attributes,
     partition::{
         self,
-        Part,
+        Quota,
         SILENCE_LIMIT, //
     },
 };
@@ -23,8 +23,8 @@
     pub(super) id: u64,
     pub(super) pool: pool::Key,
     pub(super) address: SocketAddr,
-    site: Site,
-    part: Part,
+    attributes: Attributes,
+    part: Quota,
     /// Whether the part has had its first value.
     started: bool,
     /// Latest division; the part follows it with a delay.
@@ -39,9 +39,9 @@
     /// The pool.
     pub pool: pool::Key,
     /// Slots that the entry could use.
-    pub slots: u64,
+    pub millislots: u64,
     /// The part of it that may use other availability zones.
-    pub spill: u64,
+    pub spill_millislots: u64,
 }
 
 /// Another entry and what it last reported.
@@ -52,7 +52,7 @@
     /// Where the entry runs.
     pub availability_zone: availability_zone::Key,
     /// When its last report came, or when its membership became known.
-    pub heard: Time,
+    pub last_report: Time,
     /// Its demand; pools without demand may be missing.
     pub demands: Vec<Demand>,
 }
@@ -64,7 +64,7 @@
     /// them.
     fn last_heard(&self, now: Time, home: availability_zone::Key) -> Time {
         match self.availability_zone == home {
-            true => self.heard,
+            true => self.last_report,
             false => now,
         }
     }
@@ -72,7 +72,7 @@
 
 impl Engine {
     /// Takes note of what another entry reported.
-    pub fn hear(&mut self, mut peer: Peer) {
+    pub fn update_peer(&mut self, mut peer: Peer) {
         peer.demands.sort_unstable_by_key(|demand| demand.pool);
         if peer.id == self.me {
             return;
@@ -84,14 +84,14 @@
     }
 
     /// Takes note of an entry whose membership has become known, so that it gets its part before its first report.
-    pub fn expect(&mut self, now: Time, id: u64, availability_zone: availability_zone::Key) {
+    pub fn add_peer(&mut self, now: Time, id: u64, availability_zone: availability_zone::Key) {
         if id == self.me || self.peers.iter().any(|peer| peer.id == id) {
             return;
         }
         self.peers.push(Peer {
             id,
             availability_zone,
-            heard: now,
+            last_report: now,
             demands: Vec::new(),
         });
     }
@@ -102,29 +102,30 @@
     }
 
     /// Forgets an entry that has left.
-    pub fn forget_peer(&mut self, id: u64) {
+    pub fn remove_peer(&mut self, id: u64) {
         self.peers.retain(|peer| peer.id != id);
     }
 
     /// Returns this entry's demand for its next report; pools without demand are left out.
-    pub fn report(&mut self, now: Time) -> Vec<Demand> {
+    pub fn report_demand(&mut self, now: Time) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (key, pool) in &mut self.pools {
             let others = self.peers.iter().filter(|peer| {
-                let silent = now.since(peer.heard) >= SILENCE_LIMIT;
+                let silent = now.since(peer.last_report) >= SILENCE_LIMIT;
                 peer.availability_zone == self.home && !silent
             });
-            let wants = others.map(|peer| find(&peer.demands, key).map_or(0, |it| it.slots));
+            let wants = others.map(|peer| find(&peer.demands, key).map_or(0, |it| it.millislots));
             // The division gives each entry one slot at least.
             let (count, wanted) = wants.fold((0, 0), |(count, sum), want| {
-                (count + 1, sum + want.max(partition::MILLI))
+                (count + 1, sum + want.max(partition::MILLISLOTS_PER_SLOT))
             });
-            let slots = pool.report(now, wanted, count);
-            if slots > 0 {
+            let millislots = pool.report(now, wanted, count);
+            if millislots > 0 {
                 demands.push(Demand {
                     pool: key,
-                    slots,
-                    spill: slots.min(u64::from(pool.spillable) * partition::MILLI),
+                    millislots,
+                    spill_millislots: millislots
+                        .min(u64::from(pool.spillable) * partition::MILLISLOTS_PER_SLOT),
                 });
             }
         }
@@ -168,18 +169,18 @@
         pool.change_backlog(now, customer, |backlog| backlog.count(class, change));
     }
 
-    pub(super) fn keep_upstream(&mut self, entry: &catalog::Upstream, site: Site) {
+    pub(super) fn keep_upstream(&mut self, entry: &catalog::Upstream, attributes: Attributes) {
         if let Some(known) = self.upstreams.get_mut(entry.key) {
             known.address = entry.address;
-            known.site = site;
+            known.attributes = attributes;
             return;
         }
         let upstream = Upstream {
             id: entry.id,
             pool: entry.pool,
             address: entry.address,
-            site,
-            part: Part::new(0),
+            attributes,
+            part: Quota::new(0),
             started: false,
             target: 0,
             applied: false,
@@ -210,15 +211,15 @@
         let known = known.filter_map(|&key| Some((key, self.upstreams.get(key)?.share())));
         let (keys, upstreams): (Vec<_>, Vec<_>) = known.unzip();
         let size = size(self.home, &upstreams);
-        let targets = partition::divide(now, self.me, &entries, &upstreams);
-        let firsts = partition::start(self.me, self.home, &upstreams);
+        let targets = partition::target_quotas(now, self.me, &entries, &upstreams);
+        let firsts = partition::initial_quotas(self.me, self.home, &upstreams);
         for (index, key) in keys.into_iter().enumerate() {
             let Some(upstream) = self.upstreams.get_mut(key) else {
                 continue;
             };
             if !upstream.started {
                 upstream.started = true;
-                upstream.part = Part::new(firsts[index].min(targets[index]));
+                upstream.part = Quota::new(firsts[index].min(targets[index]));
             }
             upstream.target = targets[index];
         }
@@ -231,7 +232,7 @@
     pub fn follow_targets(&mut self, now: Time) {
         for (key, upstream) in &mut self.upstreams {
             let before = upstream.part.slots();
-            let slots = upstream.part.follow(now, upstream.target);
+            let slots = upstream.part.set_target(now, upstream.target);
             if slots == before && upstream.applied {
                 continue;
             }
@@ -249,8 +250,8 @@
         let mine = partition::Entry {
             id: self.me,
             availability_zone: self.home,
-            demand: own.map_or(0, |demand| demand.slots),
-            spill: own.map_or(0, |demand| demand.spill),
+            demand: own.map_or(0, |demand| demand.millislots),
+            spill: own.map_or(0, |demand| demand.spill_millislots),
             heard: now,
         };
         let peers = self.peers.iter().map(|peer| {
@@ -258,8 +259,8 @@
             partition::Entry {
                 id: peer.id,
                 availability_zone: peer.availability_zone,
-                demand: demand.map_or(0, |demand| demand.slots),
-                spill: demand.map_or(0, |demand| demand.spill),
+                demand: demand.map_or(0, |demand| demand.millislots),
+                spill: demand.map_or(0, |demand| demand.spill_millislots),
                 heard: peer.last_heard(now, self.home),
             }
         });
@@ -271,8 +272,8 @@
     fn share(&self) -> partition::Upstream {
         partition::Upstream {
             id: self.id,
-            availability_zone: self.site.availability_zone,
-            slots: self.site.slots,
+            availability_zone: self.attributes.availability_zone,
+            slots: self.attributes.slots,
         }
     }
 }
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -15,9 +15,9 @@
         View, //
     },
     table::{
-        Fate,
         Fingerprint,
-        Item, //
+        Item,
+        RequestState, //
     },
 };
 use sassafrascrank_contract::model::{
@@ -26,9 +26,9 @@
     Value, //
 };
 use sassafrascrank_ledger::{
-    Held,
     Image,
-    Seen, //
+    Revision,
+    WriterState, //
 };
 use sassafrascrank_peer::message::{
     Demand,
@@ -101,7 +101,7 @@
             agrees: false,
         }),
         joining: true,
-        witness: Some(lease::Witness {
+        witness: Some(lease::JoinAck {
             from: entry(index),
             to: entry(index + 1),
             fence: Time::from_micros(1_800_000_000_000_789),
@@ -135,7 +135,7 @@
 }
 
 pub(crate) fn image(through: u64) -> Image {
-    let held = |value| Held {
+    let held = |value| Revision {
         offset: 3,
         writer: name("ana"),
         value,
@@ -153,7 +153,7 @@
             ),
             (Subject::Pool(name("old")), held(Value::Removed)),
         ],
-        writers: vec![Seen {
+        writers: vec![WriterState {
             writer: name("ana"),
             incarnation: 5,
             sequence: 2,
@@ -166,7 +166,7 @@
     let items = bodies.iter().enumerate().map(|(index, body)| Item {
         id: Id::from_bits(index as u128 + 1),
         fingerprint: Fingerprint(u128::MAX - index as u128),
-        fate: Fate::Answered(Stored {
+        state: RequestState::Answered(Stored {
             status: 201,
             headers: vec![("content-type".to_owned(), "text/plain".into())],
             body: body.map(|size| vec![0xa5; size].into()),
