--- a/crates/schedule/src/engine/end.rs
+++ b/crates/schedule/src/engine/end.rs
@@ -1,80 +1,79 @@
-//! Ends of runs.
+//! Handling of the ends of runs.
 
 use super::{
     Engine,
     engine::Effect, //
 };
 use crate::{
+    job::{
+        State,
+        TaskKey,
+        run, //
+    },
     note::{
         Kind,
         Note, //
     },
     order::report::{
-        EndReason, //
-        Ended,
+        EndReason,
+        Ended, //
     },
     runner,
-    work::{
-        State,
-        TaskKey,
-        run, //
-    },
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_job::progress::Outcome;
 
-/// Failures in a row, of different jobs, after which a runner gets no work for a while. One job that fails
-/// everywhere does not count against the runners.
+/// Number of failed tasks in a row after which a runner is quarantined.
 const FAILURE_LIMIT: u32 = 3;
-/// Limit on the growth of the time without work, in doublings.
+/// Largest number of times that the quarantine doubles.
 const QUARANTINE_DOUBLINGS: u32 = 3;
 
 impl Engine {
-    /// Takes the ends that a runner lists. They are acknowledged once the log holds what follows from them.
-    pub(super) fn take_ends(&mut self, key: runner::Key, mut ends: Vec<Ended>, now: Time) {
+    /// Handles the ends that a runner reports. They are acknowledged once the log has their consequences.
+    pub(super) fn handle_ends(&mut self, key: runner::Key, mut ends: Vec<Ended>, now: Time) {
         ends.sort_unstable_by_key(|end| end.number);
         let mut last = None;
         for end in ends {
             let Some(runner) = self.runners.get_mut(key) else {
                 return;
             };
-            if end.number <= runner.read {
+            if end.number <= runner.last_end {
                 continue;
             }
-            runner.read = end.number;
+            runner.last_end = end.number;
             last = Some(end.number);
-            self.take_end(key, end, now);
+            self.handle_end(key, end, now);
         }
         if let Some(number) = last {
             self.effects.push(Effect::Acknowledge(key, number));
         }
     }
 
-    fn take_end(&mut self, place: runner::Key, end: Ended, now: Time) {
-        let Some(&work) = self.work_index.get(&end.task.job) else {
+    fn handle_end(&mut self, runner_key: runner::Key, end: Ended, now: Time) {
+        let Some(&job_key) = self.job_index.get(&end.task.job) else {
             return;
         };
         let position = end.task.position;
         let task = TaskKey {
-            work,
+            job_key,
             occurrence: position.occurrence,
             step: position.step,
             index: position.index,
         };
-        let found = self.works[work].task(task.occurrence, task.step, task.index);
-        let Some(state) = found else {
+        let task_state = self.jobs[job_key].task(task.occurrence, task.step, task.index);
+        let Some(state) = task_state else {
             return;
         };
         let matches = |key: &&run::Key| {
             let run = &self.runs[**key];
-            run.attempt == end.attempt && run.runner == place
+            run.attempt == end.attempt && run.runner == runner_key
         };
         let run = state.runs.iter().find(matches).copied();
         let known = end.attempt <= state.attempt && state.state != State::Done;
         let Some(run) = run.and_then(|run| self.detach(run)) else {
-            // The run was given up after its lease. Its result still counts if nobody else has it.
+            // The run was given up after its lease had ended. Its result counts if the task is not done yet.
             if end.reason == EndReason::Done && known {
-                self.complete_step(task, end.attempt, now);
+                self.complete_attempt(task, end.attempt, now);
             }
             return;
         };
@@ -82,11 +81,11 @@
         self.keep_checkpoint(task, end.checkpoint);
         match end.reason {
             EndReason::Done => {
-                self.trust(place);
-                self.learn_time(&run, now);
-                self.complete_step(task, end.attempt, now);
+                self.record_success(runner_key);
+                self.record_duration(&run, now);
+                self.complete_attempt(task, end.attempt, now);
             }
-            EndReason::Failed => self.fail(task, place, now),
+            EndReason::Failed => self.fail_attempt(task, runner_key, now),
             EndReason::Stopped
             | EndReason::LeaseExpired
             | EndReason::GangBroken
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Keeps the latest checkpoint of a task; that of a gang's member counts for all members.
+    /// Keeps the latest checkpoint of a task. The checkpoint of one member of a gang is that of all members.
     pub(super) fn keep_checkpoint(
         &mut self,
         task: TaskKey,
@@ -106,18 +105,18 @@
         let Some(checkpoint) = checkpoint else {
             return;
         };
-        let Some(work) = self.works.get_mut(task.work) else {
+        let Some(active) = self.jobs.get_mut(task.job_key) else {
             return;
         };
-        let shape = work.job.steps.get(usize::from(task.step));
-        let gang = shape.is_some_and(|step| step.gang);
-        let count = shape.map_or(0, |step| step.count);
+        let spec = active.job.steps.get(usize::from(task.step));
+        let gang = spec.is_some_and(|step| step.gang);
+        let count = spec.map_or(0, |step| step.count);
         let members = match gang {
             true => 0..count,
             false => task.index..task.index + 1,
         };
         for index in members {
-            if let Some(state) = work.task_mut(task.occurrence, task.step, index)
+            if let Some(state) = active.task_mut(task.occurrence, task.step, index)
                 && state.state != State::Done
             {
                 state.checkpoint = Some(checkpoint.clone());
@@ -125,23 +124,23 @@
         }
     }
 
-    /// Counts a failed attempt.
-    fn fail(&mut self, task: TaskKey, place: runner::Key, now: Time) {
-        self.distrust(place, now);
-        let Some(work) = self.works.get_mut(task.work) else {
+    /// Handles a failed attempt of a task, and ends its job after too many of them.
+    fn fail_attempt(&mut self, task: TaskKey, runner_key: runner::Key, now: Time) {
+        self.record_failure(runner_key, now);
+        let Some(active) = self.jobs.get_mut(task.job_key) else {
             return;
         };
-        let limit = self.queues[work.queue].attempts;
-        let lasting = work.job.steps[usize::from(task.step)].long_running;
-        let gang = work.job.steps[usize::from(task.step)].gang;
-        let Some(state) = work.task_mut(task.occurrence, task.step, task.index) else {
+        let limit = self.queues[active.queue].attempts;
+        let lasting = active.job.steps[usize::from(task.step)].long_running;
+        let gang = active.job.steps[usize::from(task.step)].gang;
+        let Some(state) = active.task_mut(task.occurrence, task.step, task.index) else {
             return;
         };
         state.failures = state.failures.saturating_add(1);
-        state.avoid = Some(place);
+        state.avoid = Some(runner_key);
         let failed = !lasting && state.failures >= limit;
-        if failed && work.outcome.is_none() {
-            self.finish(task.work, Outcome::Failed, "attempts", now);
+        if failed && active.outcome.is_none() {
+            self.finish_job(task.job_key, Outcome::Failed, "attempts", now);
         }
         self.make_ready(task);
         if gang {
@@ -149,16 +148,16 @@
         }
     }
 
-    /// Notes that a runner has done a task.
-    fn trust(&mut self, key: runner::Key) {
+    /// Records that a runner completed a task.
+    fn record_success(&mut self, key: runner::Key) {
         if let Some(runner) = self.runners.get_mut(key) {
             runner.failures = 0;
             runner.quarantines = 0;
         }
     }
 
-    /// Notes that a task failed at a runner.
-    fn distrust(&mut self, key: runner::Key, now: Time) {
+    /// Records that a task failed on a runner, and quarantines the runner after too many failures in a row.
+    fn record_failure(&mut self, key: runner::Key, now: Time) {
         let quarantine = self.rules.quarantine;
         let Some(runner) = self.runners.get_mut(key) else {
             return;
@@ -169,8 +168,8 @@
         }
         let doublings = runner.quarantines.min(QUARANTINE_DOUBLINGS);
         runner.quarantines += 1;
-        runner.quarantine = now + quarantine * (1 << doublings);
-        // One more failure after the quarantine is enough for the next one.
+        runner.quarantined_until = now + quarantine * (1 << doublings);
+        // After the quarantine, a single failure leads to the next one.
         runner.failures = FAILURE_LIMIT - 1;
         let id = runner.id.clone();
         self.note(Note::new(Kind::RunnerQuarantined, "failures", now).with_place(&id));
--- a/crates/schedule/src/engine/mod.rs
+++ b/crates/schedule/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine of the leader.
+//! The scheduling engine, which the leader runs.
 
 mod admit;
 mod advice;
@@ -8,13 +8,13 @@
 mod evict;
 mod gang;
 mod host;
-mod inherit;
-mod list;
-mod look;
 mod pace;
 mod place;
+mod poll;
 mod report;
+mod restore;
 mod run;
+mod runners;
 mod store;
 mod straggler;
 mod tick;
--- /dev/null
+++ b/crates/schedule/src/job/run.rs
@@ -0,0 +1,107 @@
+//! An attempt of a task on a runner.
+
+use super::TaskKey;
+use crate::runner;
+use sassafrascrank_base::prelude::*;
+use sassafrascrank_job::{
+    Resource,
+    id, //
+};
+use std::sync::Arc;
+
+slotmap::new_key_type! {
+    /// Identifies a run within this process.
+    pub struct Key;
+}
+
+/// Stage of a run's life cycle.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Stage {
+    /// The run is not in the log yet, and nothing was ordered.
+    Planned,
+    /// The start was ordered.
+    Ordered,
+    /// An earlier leader wrote the run to the log; it may or may not be alive.
+    Inherited,
+    /// The run is alive.
+    Running,
+    /// The run was ordered to stop, or not to start any more.
+    Stopping,
+}
+
+/// An attempt of a task on a runner.
+#[derive(Clone, Debug)]
+pub struct Run {
+    /// The task.
+    pub task: TaskKey,
+    /// Identity of the task in orders and in the log.
+    pub task_id: id::Task,
+    /// Number of the attempt.
+    pub attempt: u32,
+    /// The runner.
+    pub runner: runner::Key,
+    /// Resources that it takes of the runner's capacity.
+    pub need: Resource,
+    /// Stage of its life cycle.
+    pub stage: Stage,
+    /// When the run was planned.
+    pub planned: Time,
+    /// When its runner first reported it to this leader, if a former leader started it.
+    pub adopted: Option<Time>,
+    /// When the start was confirmed; `None` for a run of a former leader.
+    pub started: Option<Time>,
+    /// When the latest order for the run was answered. The answer to a poll that was sent later has the run if it is
+    /// alive.
+    pub answered_at: Option<Time>,
+    /// When the run was last ordered to stop.
+    pub stop_ordered_at: Option<Time>,
+    /// Approval by the advice service.
+    pub ticket: Option<Arc<str>>,
+    /// Progress in percent, or share at which a long-running task works, as last reported.
+    pub percent: u8,
+    /// History of the progress.
+    pub progress: Progress,
+    /// Tail latency in milliseconds for a serving task, used processor time for others, as last reported.
+    pub load: u64,
+    /// Share in percent that the runner last accepted.
+    pub pace_percent: u8,
+    /// When a share was last ordered.
+    pub pace_ordered_at: Time,
+}
+
+/// History of the progress of a run. Times are milliseconds of the runner's clock, so that the delay of answers does
+/// not count.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Progress {
+    /// Time and percentage of the first report.
+    first: Option<(u64, u8)>,
+    /// Time and percentage of the latest report.
+    latest: (u64, u8),
+    /// Time of the latest report whose percentage differed from the one before.
+    changed_at: u64,
+}
+
+impl Progress {
+    /// Records a reported percentage.
+    pub fn record(&mut self, clock: u64, percent: u8) {
+        if self.first.is_none() || percent != self.latest.1 {
+            self.changed_at = clock;
+        }
+        self.first.get_or_insert((clock, percent));
+        self.latest = (clock, percent);
+    }
+
+    /// Returns the time for which the percentage has not changed.
+    pub fn unchanged_for(&self) -> Duration {
+        Duration::from_millis(self.latest.0.saturating_sub(self.changed_at))
+    }
+
+    /// Returns the projected duration of the whole task, or `None` until two reports are at least `span` apart and show
+    /// progress.
+    pub fn projected_duration(&self, span: Duration) -> Option<Duration> {
+        let (since, first) = self.first?;
+        let seen = Duration::from_millis(self.latest.0.saturating_sub(since));
+        let gained = u32::from(self.latest.1.saturating_sub(first));
+        (seen >= span && gained > 0).then(|| seen * 100 / gained)
+    }
+}
--- a/crates/schedule/src/lease/mod.rs
+++ b/crates/schedule/src/lease/mod.rs
@@ -1,5 +1,5 @@
-//! Leases on the clock of a runner.
+//! Clock samples from which the ends of leases are computed.
 
 mod clock;
 
-pub use clock::Clock;
+pub use clock::ClockSample;
--- a/crates/schedule/src/runner/runner.rs
+++ b/crates/schedule/src/runner/runner.rs
@@ -1,11 +1,11 @@
-//! One life of a runner.
+//! One incarnation of a runner: one run of its process.
 
 use super::Listed;
 use crate::{
     Rules,
-    lease::Clock,
-    queue::key,
-    work::run, //
+    job::run,
+    lease::ClockSample,
+    queue::key, //
 };
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
@@ -13,22 +13,22 @@
 use std::sync::Arc;
 
 slotmap::new_key_type! {
-    /// Identifies one life of a runner within one process.
+    /// Identifies an incarnation of a runner within this process.
     pub struct Key;
 }
 
-/// One life of a runner.
+/// One incarnation of a runner: one run of its process.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Identity.
+    /// Unique name.
     pub id: Arc<str>,
-    /// Start of this life.
+    /// Start of this incarnation, in Unix milliseconds.
     pub born: u64,
     /// Host on which it runs.
     pub host: Arc<str>,
-    /// Pool that it belongs to.
+    /// Pool that the runner belongs to.
     pub pool: key::Pool,
-    /// Address of its interface; `None` if only the log names the runner.
+    /// Address for orders; `None` if the runner is known from the log only.
     pub address: Option<SocketAddr>,
     /// All labels.
     pub labels: Box<[Arc<str>]>,
@@ -38,52 +38,55 @@
     pub rack: Arc<str>,
     /// What it can run at once.
     pub capacity: Resource,
-    /// What its runs take.
+    /// Resources that its runs take.
     pub used: Resource,
-    /// Its runs that have not ended.
+    /// Runs that have not ended.
     pub runs: Vec<run::Key>,
-    /// The service list shows it.
+    /// Whether the service list has the runner.
     pub listed: bool,
-    /// When it leaves at the earliest, if it drains.
-    pub leaves: Option<Time>,
-    /// Its pool needs it for the tasks that ask for one of its labels or its rack.
-    pub scarce: bool,
-    /// No work may start, since its host is about to be moved or maintained.
+    /// Earliest time at which the runner leaves; `None` unless it drains.
+    pub leaves_at: Option<Time>,
+    /// Whether its pool has few hosts with one of its labels or in its rack, so that other tasks should avoid it.
+    pub labels_scarce: bool,
+    /// Whether no task may start, because its host is about to be moved or maintained.
     pub closing: bool,
-    /// Its clock.
-    pub clock: Option<Clock>,
-    /// Latest time at which anything there runs without another renewal.
-    pub expiry: Time,
-    /// It has answered an order of this leader, so that orders of earlier ones have no effect.
+    /// Latest sample of its clock.
+    pub clock: Option<ClockSample>,
+    /// Latest time at which a run can still be alive if no lease is renewed.
+    pub runs_until: Time,
+    /// Whether it has answered an order of this leader, so that it rejects orders of earlier leaders.
     pub fenced: bool,
-    /// When the look in flight was sent.
-    pub looking: Option<Time>,
-    /// When the next look is due.
-    pub look_at: Time,
-    /// When the last answered look was sent.
-    pub looked: Time,
-    /// Looks in a row without an answer.
+    /// When the poll in flight was sent.
+    pub poll_sent: Option<Time>,
+    /// When the next poll is due.
+    pub poll_at: Time,
+    /// When the last answered poll was sent.
+    pub last_poll: Time,
+    /// Number of requests in a row without an answer.
     pub misses: u32,
-    /// Highest number of an end that was read.
-    pub read: u64,
-    /// Highest number of an end up to which all are durable.
-    pub durable: u64,
-    /// Highest number of an end that the runner knows to be durable.
+    /// Highest number of an end that was handled.
+    pub last_end: u64,
+    /// All ends up to this number are in the log.
+    pub durable_end: u64,
+    /// All ends up to this number were acknowledged to the runner.
     pub acknowledged: u64,
-    /// Jobs in a row of which a task failed there.
+    /// Number of tasks in a row that failed there.
     pub failures: u32,
-    /// It gets no work until then.
-    pub quarantine: Time,
-    /// Times that it was put into quarantine in a row.
+    /// No task starts there before this time.
+    pub quarantined_until: Time,
+    /// Number of quarantines in a row.
     pub quarantines: u32,
-    /// When it last had a run.
-    pub busy_at: Time,
+    /// When a run was last planned there.
+    pub last_busy: Time,
 }
 
 impl Runner {
-    /// Makes a runner that has not answered yet and may run orders of an earlier leader until `expiry`.
-    pub fn new(listed: &Listed, pool: key::Pool, expiry: Time, now: Time) -> Self {
-        let clock = |millis| Clock { millis, at: now };
+    /// Creates a runner that has not answered yet. Runs of an earlier leader may be alive there until `runs_until`.
+    pub fn new(listed: &Listed, pool: key::Pool, runs_until: Time, now: Time) -> Self {
+        let clock = |clock_ms| ClockSample {
+            clock_ms,
+            received: now,
+        };
         Self {
             id: Arc::clone(&listed.id),
             born: listed.born,
@@ -95,14 +98,14 @@
             rack: Arc::clone(&listed.rack),
             capacity: listed.capacity,
             listed: true,
-            leaves: listed.draining.map(|left| now + left),
+            leaves_at: listed.draining.map(|left| now + left),
             clock: listed.clock.map(clock),
-            ..Self::ghost(Arc::clone(&listed.id), listed.born, pool, expiry, now)
+            ..Self::from_log(Arc::clone(&listed.id), listed.born, pool, runs_until, now)
         }
     }
 
-    /// Makes a runner that only the log names.
-    pub fn ghost(id: Arc<str>, born: u64, pool: key::Pool, expiry: Time, now: Time) -> Self {
+    /// Creates a runner that is known from the log only.
+    pub fn from_log(id: Arc<str>, born: u64, pool: key::Pool, runs_until: Time, now: Time) -> Self {
         let nothing: Arc<str> = "".into();
         Self {
             id,
@@ -117,54 +120,55 @@
             used: Resource::default(),
             runs: Vec::new(),
             listed: false,
-            leaves: None,
-            scarce: false,
+            leaves_at: None,
+            labels_scarce: false,
             closing: false,
             clock: None,
-            expiry,
+            runs_until,
             fenced: false,
-            looking: None,
-            look_at: now,
-            looked: Time::MIN,
+            poll_sent: None,
+            poll_at: now,
+            last_poll: Time::MIN,
             misses: 0,
-            read: 0,
-            durable: 0,
+            last_end: 0,
+            durable_end: 0,
             acknowledged: 0,
             failures: 0,
-            quarantine: Time::MIN,
+            quarantined_until: Time::MIN,
             quarantines: 0,
-            busy_at: now,
+            last_busy: now,
         }
     }
 
-    /// Tells whether tasks may start there.
-    pub fn is_open(&self, now: Time) -> bool {
+    /// Returns whether tasks may start there.
+    pub fn accepts_tasks(&self, now: Time) -> bool {
         self.listed
             && self.fenced
             && self.misses == 0
             && !self.closing
-            && self.leaves.is_none()
+            && self.leaves_at.is_none()
             && self.clock.is_some()
-            && now >= self.quarantine
+            && now >= self.quarantined_until
     }
 
-    /// Returns whether a task fits beside what runs there.
+    /// Returns whether a task fits into the free capacity.
     pub fn fits(&self, need: Resource) -> bool {
         self.capacity.fits(self.used, need)
     }
 
-    /// Tells whether it has the label.
+    /// Returns whether it has the label.
     pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|own| **own == *label)
     }
 
-    /// Returns the end of a lease of `span` by its clock, and notes by when it has ended.
-    pub fn renew(&mut self, span: Duration, rules: &Rules, now: Time) -> Option<u64> {
+    /// Returns the end of a lease of `span` in milliseconds of the runner's clock, or `None` if that clock is unknown,
+    /// and updates [`runs_until`](Self::runs_until).
+    pub fn renew_lease(&mut self, span: Duration, rules: &Rules, now: Time) -> Option<u64> {
         let clock = self.clock?;
-        let until = clock.read(now) + span.as_millis() as u64;
-        self.expiry = self
-            .expiry
-            .max(clock.end(until, rules.drift) + rules.margin);
+        let until = clock.estimate_ms(now) + span.as_millis() as u64;
+        self.runs_until = self
+            .runs_until
+            .max(clock.latest_expiry(until, rules.drift_permille) + rules.margin);
         Some(until)
     }
 }
--- a/crates/schedule/tests/engine/rig/rig.rs
+++ b/crates/schedule/tests/engine/harness/harness.rs
@@ -1,8 +1,8 @@
-//! An engine with runners and hosts that carry out its orders at once, in virtual time.
+//! A test harness: an engine with simulated runners and hosts that execute its orders at once, in virtual time.
 
 use super::fixture::{
-    EPOCH,
-    ROOM,
+    RUNNER_SLOTS,
+    START_TIME,
     config,
     job, //
 };
@@ -40,124 +40,124 @@
 };
 
 /// Epoch of the first leader.
-const EPOCH_OF_FIRST: u64 = 7;
-/// Time between two decisions.
+const FIRST_EPOCH: u64 = 7;
+/// Time between two ticks of the engine.
 const TICK: Duration = Duration::from_millis(20);
 
-/// A runner with what the service list says of it.
-pub(crate) struct Site {
-    /// The runner.
+/// A simulated runner and its entry in the service list.
+pub(crate) struct TestRunner {
+    /// The simulated runner.
     pub(crate) worker: Worker,
     /// Its entry in the service list.
     pub(crate) listed: Listed,
 }
 
-/// An engine with runners and hosts.
-pub(crate) struct Rig {
+/// An engine with simulated runners and hosts.
+pub(crate) struct Harness {
     /// The engine.
     pub(crate) engine: Engine,
-    /// Time since the start.
+    /// Time since the start of the test.
     pub(crate) now: Duration,
-    /// Runners by identity.
-    pub(crate) sites: BTreeMap<String, Site>,
-    /// Runners that can't be reached.
-    pub(crate) cut: BTreeSet<String>,
-    /// Runners on which tasks take this many times as long.
-    pub(crate) slow: BTreeMap<String, u32>,
-    /// Runners show no progress.
-    pub(crate) frozen: bool,
-    /// Hosts.
+    /// Runners by name.
+    pub(crate) runners: BTreeMap<String, TestRunner>,
+    /// Names of runners that can't be reached.
+    pub(crate) unreachable: BTreeSet<String>,
+    /// Factors by which tasks take longer on some runners.
+    pub(crate) slowdown: BTreeMap<String, u32>,
+    /// Whether runners report a constant progress.
+    pub(crate) hide_progress: bool,
+    /// Simulated hosts.
     pub(crate) hosts: Hosts,
-    /// Response time in milliseconds that runners show for their tasks.
+    /// Latencies in milliseconds that runners report for tasks.
     pub(crate) load: BTreeMap<String, u64>,
-    /// How long each task works; `None` for tasks that last.
-    pub(crate) work: fn(&Task) -> Option<Duration>,
-    /// Tasks whose attempts fail.
+    /// Duration of each task; `None` for a task that does not end.
+    pub(crate) task_duration: fn(&Task) -> Option<Duration>,
+    /// Whether an attempt of a task fails on a runner.
     pub(crate) fails: fn(&Task, u32, &str) -> bool,
-    /// The latest progress of each job, as the log would hold it.
-    pub(crate) log: BTreeMap<Id, Arc<Progress>>,
-    /// The fold of the log.
+    /// Latest progress of each job in the log.
+    pub(crate) stored_progress: BTreeMap<Id, Arc<Progress>>,
+    /// State that the log yields.
     book: Replica,
     rules: Rules,
     epoch: u64,
-    /// Addresses of runners to which connections were closed.
+    /// Addresses to which connections were closed.
     pub(crate) closed: Vec<SocketAddr>,
     /// Answers to orders to hosts.
     pub(crate) answers: Vec<Report>,
-    /// Orders to hosts that will be carried out without an answer.
-    pub(crate) mute_hosts: usize,
-    /// Waves whose state was published.
+    /// Number of next orders to hosts that are executed without an answer.
+    pub(crate) unanswered_host_orders: usize,
+    /// Published states of waves: number, and whether the wave is done.
     pub(crate) announced: Vec<(u64, bool)>,
     lines: String,
-    shown: u64,
+    replacements: u64,
 }
 
-impl Rig {
-    /// Makes a rig with runners in one pool, `racks` of them to a rack.
+impl Harness {
+    /// Creates a harness with runners in one pool, `racks` of them in each rack.
     pub(crate) fn new(runners: usize, racks: usize) -> Self {
         Self::build(runners, racks, Rules::default(), &[])
     }
 
-    /// Makes a rig whose former leader ordered hosts so many milliseconds ago.
-    pub(crate) fn with_ordered(runners: usize, hosts: &[(&str, u64)]) -> Self {
+    /// Creates a harness whose former leader gave orders to hosts, each the given number of milliseconds ago.
+    pub(crate) fn with_former_orders(runners: usize, hosts: &[(&str, u64)]) -> Self {
         Self::build(runners, 1, Rules::default(), hosts)
     }
 
-    /// Makes a rig with its own rules, whose former leader ordered hosts so many milliseconds ago.
+    /// Like [`with_former_orders`](Self::with_former_orders), with the given rules.
     pub(crate) fn with_rules(runners: usize, rules: Rules, hosts: &[(&str, u64)]) -> Self {
         Self::build(runners, 1, rules, hosts)
     }
 
     fn build(runners: usize, racks: usize, rules: Rules, ordered: &[(&str, u64)]) -> Self {
         let row = |(host, ago): &(&str, u64)| {
-            let at = EPOCH - Duration::from_millis(*ago);
+            let at = START_TIME - Duration::from_millis(*ago);
             (Arc::from(*host), at)
         };
         let takeover = Takeover {
-            epoch: EPOCH_OF_FIRST,
+            epoch: FIRST_EPOCH,
             runs_until: Time::MIN,
             hosts: ordered.iter().map(row).collect(),
         };
-        let engine = Engine::new(rules, takeover, &config(), EPOCH);
-        let mut rig = Self {
+        let engine = Engine::new(rules, takeover, &config(), START_TIME);
+        let mut harness = Self {
             engine,
             now: Duration::ZERO,
-            sites: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            slow: BTreeMap::new(),
-            frozen: false,
+            runners: BTreeMap::new(),
+            unreachable: BTreeSet::new(),
+            slowdown: BTreeMap::new(),
+            hide_progress: false,
             hosts: Hosts {
                 move_time: Duration::from_millis(1_500),
                 maintenance_time: Duration::from_millis(2_000),
                 ..Hosts::default()
             },
             load: BTreeMap::new(),
-            work: |_| Some(Duration::from_millis(300)),
+            task_duration: |_| Some(Duration::from_millis(300)),
             fails: |_, _, _| false,
-            log: BTreeMap::new(),
+            stored_progress: BTreeMap::new(),
             book: Replica::default(),
             rules,
-            epoch: EPOCH_OF_FIRST,
+            epoch: FIRST_EPOCH,
             closed: Vec::new(),
             answers: Vec::new(),
-            mute_hosts: 0,
+            unanswered_host_orders: 0,
             announced: Vec::new(),
             lines: String::new(),
-            shown: 0,
+            replacements: 0,
         };
         for index in 0..runners {
-            rig.add_runner(
+            harness.add_runner(
                 &format!("r{index}"),
                 "pool",
                 &format!("rack{}", index / racks),
             );
         }
-        rig
+        harness
     }
 
-    /// Adds a runner on a host of its own.
+    /// Adds a runner on a new host.
     pub(crate) fn add_runner(&mut self, id: &str, pool: &str, rack: &str) {
-        let born = 1 + self.sites.len() as u64;
+        let born = 1 + self.runners.len() as u64;
         let listed = Listed {
             id: id.into(),
             born,
@@ -168,8 +168,8 @@
             labels: vec![Arc::from("kind"), Arc::from(rack)].into(),
             rack: rack.into(),
             capacity: Resource {
-                cpu: 1_000 * ROOM,
-                memory: 1_000 * ROOM,
+                cpu: 1_000 * RUNNER_SLOTS,
+                memory: 1_000 * RUNNER_SLOTS,
                 gpu: 0,
             },
             draining: None,
@@ -177,43 +177,43 @@
         };
         let worker = Worker::new(id, born, 64, 1_000, self.now);
         self.hosts.add(&listed.host, pool);
-        let site = Site { worker, listed };
+        let runner = TestRunner { worker, listed };
         self.engine
-            .update_runner(Change::Set(site.listed.clone()), self.time());
-        self.sites.insert(id.to_owned(), site);
+            .update_runner(Change::Set(runner.listed.clone()), self.time());
+        self.runners.insert(id.to_owned(), runner);
     }
 
-    /// Gives each host that many accelerators.
+    /// Sets the number of accelerators of each runner.
     pub(crate) fn set_accelerators(&mut self, count: u64) {
         let now = self.time();
-        for site in self.sites.values_mut() {
-            site.listed.capacity.gpu = count;
+        for runner in self.runners.values_mut() {
+            runner.listed.capacity.gpu = count;
             self.engine
-                .update_runner(Change::Set(site.listed.clone()), now);
+                .update_runner(Change::Set(runner.listed.clone()), now);
         }
     }
 
-    /// Returns what the log holds of a wave.
+    /// Returns the progress of a wave in the log.
     pub(crate) fn stored_wave(&self, number: u64) -> Option<record::Wave> {
         self.book.waves().get(&number).cloned()
     }
 
-    /// Lets each stop take that long.
+    /// Sets the time that a run takes to stop.
     pub(crate) fn set_stop_time(&mut self, time: Duration) {
-        for site in self.sites.values_mut() {
-            site.worker.stop_time = time;
+        for runner in self.runners.values_mut() {
+            runner.worker.stop_time = time;
         }
     }
 
     /// Returns the number of runs that are being stopped.
     pub(crate) fn stopping(&self) -> usize {
-        let runs = self.sites.values().flat_map(|site| &site.worker.runs);
+        let runs = self.runners.values().flat_map(|runner| &runner.worker.runs);
         runs.filter(|run| run.stops.is_some()).count()
     }
 
-    /// Returns the present time.
+    /// Returns the present time of day.
     pub(crate) fn time(&self) -> Time {
-        EPOCH + self.now
+        START_TIME + self.now
     }
 
     /// Submits a job.
@@ -228,7 +228,7 @@
         job
     }
 
-    /// Puts a new leader in the place of the present one. It knows what the log holds.
+    /// Replaces the engine by that of a new leader, which knows what the log has.
     pub(crate) fn take_over(&mut self) {
         let now = self.time();
         self.epoch += 1;
@@ -238,26 +238,26 @@
             hosts: self.book.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, takeover, &config(), now);
-        for site in self.sites.values() {
-            engine.update_runner(Change::Set(site.listed.clone()), now);
+        for runner in self.runners.values() {
+            engine.update_runner(Change::Set(runner.listed.clone()), now);
         }
         for (_, entry) in self.book.jobs() {
             engine.restore_job(entry, now, now);
         }
         self.engine = engine;
-        self.mark("another leader");
+        self.add_line("another leader");
     }
 
-    /// Says in the service list that a runner leaves.
+    /// Marks a runner as draining in the service list.
     pub(crate) fn drain(&mut self, id: &str) {
-        let site = self.sites.get_mut(id).expect("the runner exists");
-        site.listed.draining = Some(Duration::from_secs(2));
-        let change = Change::Set(site.listed.clone());
-        self.engine.update_runner(change, EPOCH + self.now);
+        let runner = self.runners.get_mut(id).expect("the runner exists");
+        runner.listed.draining = Some(Duration::from_secs(2));
+        let change = Change::Set(runner.listed.clone());
+        self.engine.update_runner(change, START_TIME + self.now);
     }
 
-    /// Lets time pass, with a decision every 20 ms.
-    pub(crate) fn run(&mut self, millis: u64) {
+    /// Runs the engine for the given number of milliseconds, with a tick every 20 ms.
+    pub(crate) fn run_ms(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now += TICK;
@@ -265,10 +265,10 @@
         }
     }
 
-    /// Lets the engine decide, and stores and carries out what it wants.
+    /// Runs a tick of the engine, stores its records and executes its orders.
     pub(crate) fn decide(&mut self) {
         for name in self.hosts.advance(self.now) {
-            self.come_back(&name);
+            self.start_runner(&name);
         }
         let now = self.time();
         self.engine.tick(true, now, now);
@@ -276,36 +276,39 @@
             for record in records {
                 self.book.apply(0, record.clone(), now);
                 if let Record::Progress(progress) = record {
-                    self.log.insert(progress.id, progress);
+                    self.stored_progress.insert(progress.id, progress);
                 }
             }
             self.engine.records_stored(now);
             self.engine.tick(true, now, now);
         }
         for order in self.engine.take_orders() {
-            self.carry_out(order);
+            self.execute(order);
         }
         self.engine.take_notes();
     }
 
-    /// Returns what was ordered and what came of it, one line each.
+    /// Returns the orders and their results, one line for each, after the time in milliseconds.
     pub(crate) fn timeline(&self) -> &str {
         &self.lines
     }
 
-    /// Returns the tasks that run at a runner.
+    /// Returns the tasks that run on a runner, sorted.
     pub(crate) fn running(&self, id: &str) -> Vec<String> {
-        let runs = self.sites[id].worker.runs.iter();
+        let runs = self.runners[id].worker.runs.iter();
         let mut names: Vec<String> = runs.map(|run| run.task.clone()).collect();
         names.sort_unstable();
         names
     }
 
-    /// Returns the pairs of runs of the same task that overlapped.
+    /// Returns the number of pairs of runs of the same task that overlapped in time.
     pub(crate) fn overlaps(&self) -> usize {
-        let ended = self.sites.values().flat_map(|site| &site.worker.history);
+        let ended = self
+            .runners
+            .values()
+            .flat_map(|runner| &runner.worker.history);
         let mut runs: Vec<_> = ended.map(|run| (&run.task, run.began, run.ended)).collect();
-        let live = self.sites.values().flat_map(|site| &site.worker.runs);
+        let live = self.runners.values().flat_map(|runner| &runner.worker.runs);
         runs.extend(live.map(|run| (&run.task, run.began, Duration::MAX)));
         runs.sort_unstable();
         let overlap = |pair: &&[(&String, Duration, Duration)]| {
@@ -314,63 +317,69 @@
         runs.windows(2).filter(overlap).count()
     }
 
-    /// Returns the number of tasks that run anywhere.
-    pub(crate) fn count(&self) -> usize {
-        self.sites.values().map(|site| site.worker.runs.len()).sum()
+    /// Returns the number of runs on all runners.
+    pub(crate) fn running_count(&self) -> usize {
+        self.runners
+            .values()
+            .map(|runner| runner.worker.runs.len())
+            .sum()
     }
 
     /// Adds a line to the timeline.
-    pub(crate) fn mark(&mut self, text: &str) {
+    pub(crate) fn add_line(&mut self, text: &str) {
         let _ = writeln!(self.lines, "{:>6} {text}", self.now.as_millis());
     }
 
-    /// Ends the runner of a host that was ordered.
-    pub(super) fn touch(&mut self, host: &str, pool: Option<&str>) {
-        let site = self
-            .sites
+    /// Ends the runner of a host that was ordered to move or to begin its maintenance, and prepares the next one.
+    pub(super) fn replace_runner(&mut self, host: &str, pool: Option<&str>) {
+        let runner = self
+            .runners
             .iter()
-            .find(|(_, site)| *site.listed.host == *host);
-        let Some(id) = site.map(|(id, _)| id.clone()) else {
+            .find(|(_, runner)| *runner.listed.host == *host);
+        let Some(id) = runner.map(|(id, _)| id.clone()) else {
             return;
         };
-        let mut site = self.sites.remove(&id).expect("it was just found");
-        for run in &site.worker.runs {
+        let mut runner = self.runners.remove(&id).expect("it was just found");
+        for run in &runner.worker.runs {
             let text = format!("killed {} at {id}", &run.task[17..]);
             let _ = writeln!(self.lines, "{:>6} {text}", self.now.as_millis());
         }
-        site.worker.die(self.now);
+        runner.worker.die(self.now);
         if let Some(pool) = pool {
-            site.listed.pool = pool.into();
+            runner.listed.pool = pool.into();
         }
-        self.shown += 1;
-        site.listed.born += 100;
-        site.listed.id = format!("{id}+").into();
-        self.sites.insert(format!("{id}+"), site);
+        self.replacements += 1;
+        runner.listed.born += 100;
+        runner.listed.id = format!("{id}+").into();
+        self.runners.insert(format!("{id}+"), runner);
         self.engine
-            .update_runner(Change::Removed(id.as_str().into()), EPOCH + self.now);
+            .update_runner(Change::Removed(id.as_str().into()), START_TIME + self.now);
     }
 
-    /// Lists the new runner of a host that has come back.
-    fn come_back(&mut self, host: &str) {
+    /// Starts the new runner of a host that is up again and adds it to the service list.
+    fn start_runner(&mut self, host: &str) {
         let now = self.now;
         let standby = self.hosts.hosts[host].pool == "standby";
         let time = self.time();
-        if let Some(site) = self
-            .sites
+        if let Some(runner) = self
+            .runners
             .values_mut()
-            .find(|site| *site.listed.host == *host)
+            .find(|runner| *runner.listed.host == *host)
             && !standby
         {
-            let id = site.listed.id.to_string();
-            site.worker = Worker::new(&id, site.listed.born, 64, 1_000, now);
+            let id = runner.listed.id.to_string();
+            runner.worker = Worker::new(&id, runner.listed.born, 64, 1_000, now);
             self.engine
-                .update_runner(Change::Set(site.listed.clone()), time);
+                .update_runner(Change::Set(runner.listed.clone()), time);
         }
     }
 
     pub(super) fn list_hosts(&self) -> Vec<host::Listed> {
         let row = |(name, value): (&String, &sassafrascrank_standin::cluster::Host)| {
-            let site = self.sites.values().find(|site| *site.listed.host == **name);
+            let runner = self
+                .runners
+                .values()
+                .find(|runner| *runner.listed.host == **name);
             let up = value.phase == Phase::Up && value.pool != "standby";
             host::Listed {
                 name: name.as_str().into(),
@@ -381,11 +390,15 @@
                     Phase::Maintenance(_) => host::State::Maintenance,
                 },
                 zone: "zone".into(),
-                labels: site
-                    .map(|site| site.listed.labels.clone())
+                labels: runner
+                    .map(|runner| runner.listed.labels.clone())
                     .unwrap_or_default(),
-                capacity: site.map(|site| site.listed.capacity).unwrap_or_default(),
-                runner: site.filter(|_| up).map(|site| Arc::clone(&site.listed.id)),
+                capacity: runner
+                    .map(|runner| runner.listed.capacity)
+                    .unwrap_or_default(),
+                runner: runner
+                    .filter(|_| up)
+                    .map(|runner| Arc::clone(&runner.listed.id)),
             }
         };
         self.hosts.hosts.iter().map(row).collect()
