--- a/crates/dispatch/src/catalog/catalog.rs
+++ b/crates/dispatch/src/catalog/catalog.rs
@@ -1,4 +1,4 @@
-//! Owner of the keys.
+//! Assignment of keys to configured names.
 
 use super::{
     Customer,
@@ -21,9 +21,9 @@
     BTreeSet, //
 };
 
-/// Gives keys to names and keeps them while the name is in force.
+/// Assigns a key to each name and keeps it while the name is in the configuration.
 ///
-/// A name that is removed and comes back gets a new key, so that no state of the former one is found.
+/// A name that is removed and added again gets a new key, so that it can't reach state stored under the old one.
 #[derive(Debug, Default)]
 pub struct Catalog {
     zones: Interner<availability_zone::Key, Name>,
@@ -32,29 +32,30 @@
     upstreams: Interner<upstream::Key, Identity>,
 }
 
-/// What makes an upstream the same one as before.
+/// Name and incarnation of the host, and name of the pool; an upstream keeps its key while all three are the same.
 type Identity = (Name, u64, Name);
 
 #[derive(Debug)]
 struct Interner<K: slotmap::Key, T> {
     keys: BTreeMap<T, K>,
-    names: SlotMap<K, ()>,
+    arena: SlotMap<K, ()>,
 }
 
 impl Catalog {
-    /// Makes a catalog without names.
+    /// Creates an empty catalog.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the key of an availability zone.
+    /// Returns the key of an availability zone; a new name gets a key.
     pub fn availability_zone(&mut self, name: &Name) -> availability_zone::Key {
         self.zones.intern(name)
     }
 
-    /// Joins the configuration in force and the host list into a snapshot.
+    /// Builds a snapshot from the configuration in force and the host list.
     ///
-    /// `values` are the subjects in force in any order; `version` is the offset through which they are folded.
+    /// `values` holds the current value of each configuration subject in any order, and `version` is the log offset
+    /// up to which they include changes. `complete` tells whether the configuration may be used to admit requests.
     pub fn snapshot<'a>(
         &mut self,
         version: u64,
@@ -63,7 +64,7 @@
         hosts: &[Host],
     ) -> Snapshot {
         let pools = self.pools_in_force(values.clone());
-        // Shares and upstreams must not name a pool that has just been removed.
+        // Shares and upstreams must not refer to a pool that has just been removed.
         self.pools.retain(pools.iter().map(|pool| pool.key));
         let customers = self.customers_in_force(values.clone());
         let upstreams = self.upstreams_in_force(values, hosts);
@@ -165,7 +166,7 @@
         if let Some(&key) = self.keys.get(name) {
             return key;
         }
-        let key = self.names.insert(());
+        let key = self.arena.insert(());
         self.keys.insert(name.clone(), key);
         key
     }
@@ -181,7 +182,7 @@
     fn retain(&mut self, keys: impl Iterator<Item = K>) {
         let keep: BTreeSet<K> = keys.collect();
         self.keys.retain(|_, key| keep.contains(key));
-        self.names.retain(|key, ()| keep.contains(&key));
+        self.arena.retain(|key, ()| keep.contains(&key));
     }
 }
 
@@ -189,7 +190,7 @@
     fn default() -> Self {
         Self {
             keys: BTreeMap::new(),
-            names: SlotMap::with_key(),
+            arena: SlotMap::with_key(),
         }
     }
 }
--- a/crates/dispatch/src/catalog/mod.rs
+++ b/crates/dispatch/src/catalog/mod.rs
@@ -1,4 +1,4 @@
-//! Keys for the names in force, and the snapshot that other threads work with.
+//! Keys of configured names, and snapshots of the configuration for other threads.
 
 mod catalog;
 mod snapshot;
--- a/crates/dispatch/src/catalog/snapshot.rs
+++ b/crates/dispatch/src/catalog/snapshot.rs
@@ -1,16 +1,16 @@
-//! Configuration and hosts at one moment, with keys in place of names.
+//! Configuration and hosts at one time, with keys in place of names.
 
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::model;
 use std::sync::Arc;
 
-/// Everything that admission and routing need to know.
+/// Configuration and hosts as admission and routing use them.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Offset through which the configuration is folded.
+    /// Log offset up to which the configuration includes changes.
     pub version: u64,
-    /// Whether the configuration is complete; without it no request is admitted.
+    /// Whether the configuration is complete; no request is admitted until it is.
     pub complete: bool,
     /// Availability zones with hosts or entries.
     pub zones: Vec<(Name, availability_zone::Key)>,
@@ -51,7 +51,7 @@
 pub struct Upstream {
     /// Key of the upstream; a restarted upstream has a new one.
     pub key: upstream::Key,
-    /// Identity that all entries know.
+    /// Identity of the upstream, the same at all entries.
     pub id: u64,
     /// Host that it runs on.
     pub host: Name,
@@ -59,27 +59,27 @@
     pub incarnation: u64,
     /// Pool that the host is assigned to.
     pub pool: pool::Key,
-    /// Where the host stands.
+    /// Availability zone of the host.
     pub availability_zone: availability_zone::Key,
     /// Name of that availability zone.
     pub zone: Name,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Whether the host list says that it is leaving.
+    /// Whether the host list marks the host as leaving.
     pub leaving: bool,
 }
 
-/// A host as the platform's list shows it.
+/// A host from the platform's host list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Host {
     /// Name of the host.
     pub name: Name,
-    /// Number of its current start.
+    /// Incarnation of the host; a restarted host has another one.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Availability zone of the host.
     pub availability_zone: Name,
-    /// Where its upstream takes requests.
+    /// Address at which its upstream accepts requests.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
--- a/crates/dispatch/src/engine/arrival.rs
+++ b/crates/dispatch/src/engine/arrival.rs
@@ -1,53 +1,53 @@
-//! What goes into the engine and what comes out.
+//! Requests passed to the engine, and the decisions that it returns.
 
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
 
-/// A request that asks for admission.
+/// A request to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Who waits for the decision.
+    /// Caller that waits for the answer.
     pub caller: caller::Handle,
-    /// Who sent it.
+    /// Customer that sent it.
     pub customer: customer::Key,
-    /// Pool that is to answer it.
+    /// Pool whose upstreams may answer it.
     pub pool: pool::Key,
-    /// How urgent it is.
+    /// Urgency class.
     pub class: class::Index,
-    /// When its caller gives up.
+    /// Time at which its caller stops waiting.
     pub deadline: Time,
     /// Whether it may run more than once.
     pub idempotent: bool,
 }
 
-/// An upstream and where it takes requests.
+/// An upstream and its address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Target {
     /// Key of the upstream.
     pub upstream: upstream::Key,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
 }
 
-/// What is to be done with a request.
+/// Next step for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Send it to this upstream and report how the attempt ended.
+    /// Send the request to an upstream, and report the end of the attempt to the engine.
     Forward {
-        /// Who waits for it.
+        /// Caller of the request.
         caller: caller::Handle,
-        /// Where to send it.
+        /// Upstream to send it to.
         target: Target,
-        /// When the attempt is given up.
+        /// Time at which the attempt is abandoned.
         until: Time,
         /// Number of earlier attempts.
         retry: u32,
     },
-    /// Tell the caller that it ends here.
+    /// Answer the caller with a refusal; the engine has removed the request.
     Refuse {
-        /// Who waits for it.
+        /// Caller of the request.
         caller: caller::Handle,
-        /// What to tell.
+        /// Refusal for the caller.
         refusal: Refusal,
     },
 }
--- a/crates/dispatch/src/engine/attempt.rs
+++ b/crates/dispatch/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt that brought no answer.
+//! Retry or refusal after a failed attempt.
 
 use super::{
     Decision,
@@ -9,11 +9,11 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::Report;
 
-/// Multiplier and increment of the generator of jitter, from Knuth's MMIX.
-const RANDOM_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
-const RANDOM_INCREMENT: u64 = 1_442_695_040_888_963_407;
+/// Multiplier and increment of the linear congruential generator of backoff jitter, from Knuth's MMIX.
+const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
-/// Meaning of a failed attempt for its request.
+/// Whether a failed attempt may have run its request, and the reason to report.
 #[derive(Clone, Copy)]
 enum Failure {
     /// The request was not sent.
@@ -42,7 +42,7 @@
         report: Report,
     ) {
         let Some(failure) = Failure::new(report) else {
-            self.forget(now, key);
+            self.remove_ticket(now, key);
             return;
         };
         let retry_after = self.limit.retry_after;
@@ -54,7 +54,7 @@
         ticket.stage = Stage::Backoff;
         match failure {
             Failure::Sent(reason) => ticket.fallback = Refusal::unknown(reason),
-            // An earlier attempt that may have run decides on what can be said.
+            // If an earlier attempt may have run, its refusal stays: the request can't be reported as "not run".
             Failure::Unsent(reason) => {
                 let unsent = Refusal::not_run(reason).with_retry_after(retry_after);
                 ticket.fallback = ticket.refusal(unsent);
@@ -62,13 +62,13 @@
         }
         let retryable = ticket.arrival.idempotent || matches!(failure, Failure::Unsent(_));
         let failed = ticket.failed;
-        // An idle connection that was closed says nothing about the upstream, so the first retry need not wait.
+        // An idle connection that the upstream closed is no sign of a failure, so the first retry starts at once.
         let immediate = report == Report::Stale && failed == 1;
-        let allowed = retryable && self.allow_retry(now, key, immediate);
+        let allowed = retryable && self.charge_retry(now, key, immediate);
         let at = match allowed {
             true if immediate => now,
             true => now + self.backoff(failed - 1),
-            // The refusal is due at once.
+            // The next poll refuses the request.
             false => now,
         };
         if !allowed && let Some(ticket) = self.tickets.get_mut(key) {
@@ -77,7 +77,7 @@
         self.retries.push(Reverse((at, key)));
     }
 
-    /// Queues the retries that are due, and refuses requests that get no further attempt.
+    /// Queues the requests whose retry is due, and refuses those that get no further attempt.
     pub(super) fn start_retries(&mut self, now: Time, decisions: &mut Vec<Decision>) {
         while let Some(&Reverse((at, key))) = self.retries.peek()
             && at <= now
@@ -97,15 +97,17 @@
                 false => Some(ticket.fallback),
             };
             if let Some(refusal) = refusal {
-                self.forget(now, key);
+                self.remove_ticket(now, key);
                 let caller = ticket.arrival.caller;
                 decisions.push(Decision::Refuse { caller, refusal });
             }
         }
     }
 
-    /// Charges a retry to the contract; an immediate retry of an unsent request is free of the retry budget.
-    fn allow_retry(&mut self, now: Time, key: ticket::Key, immediate: bool) -> bool {
+    /// Charges a retry to the customer's retry budget and rate limit; returns whether the retry is allowed.
+    ///
+    /// An immediate retry of a request that was not sent is free.
+    fn charge_retry(&mut self, now: Time, key: ticket::Key, immediate: bool) -> bool {
         let Some(&ticket) = self.tickets.get(key) else {
             return false;
         };
@@ -119,11 +121,11 @@
     }
 
     fn backoff(&mut self, retry: u32) -> Duration {
-        self.random = self
-            .random
-            .wrapping_mul(RANDOM_MULTIPLIER)
-            .wrapping_add(RANDOM_INCREMENT);
-        // The high bits of a linear congruential generator are its better ones.
-        self.limit.backoff.delay(retry, self.random >> 16)
+        self.jitter_state = self
+            .jitter_state
+            .wrapping_mul(LCG_MULTIPLIER)
+            .wrapping_add(LCG_INCREMENT);
+        // The high bits of a linear congruential generator are more random than the low ones.
+        self.limit.backoff.delay(retry, self.jitter_state >> 16)
     }
 }
--- a/crates/dispatch/src/engine/configure.rs
+++ b/crates/dispatch/src/engine/configure.rs
@@ -1,11 +1,11 @@
-//! Configuration, hosts and peers as they change.
+//! Changes of the configuration, of hosts and of this entry's fraction of the contracts.
 
 use super::{
     Decision,
     Engine,
     customer::{
         Customer,
-        Part, //
+        Fraction, //
     },
     pool::Pool,
     ticket::Stage, //
@@ -22,7 +22,7 @@
 use std::collections::BTreeSet;
 
 impl Engine {
-    /// Puts a snapshot into force; requests of customers that are gone are refused.
+    /// Applies a snapshot; queued requests of removed customers and pools are refused.
     pub fn apply(&mut self, now: Time, snapshot: &Snapshot, decisions: &mut Vec<Decision>) {
         self.complete = snapshot.complete;
         self.apply_pools(now, snapshot, decisions);
@@ -31,24 +31,24 @@
         self.divide_slots(now);
     }
 
-    /// Stops new work for an upstream that is leaving; tells whether this is the first sign.
+    /// Sends no new requests to an upstream that is leaving; returns whether this is the first sign that it leaves.
     pub fn drain_upstream(&mut self, now: Time, upstream: upstream::Key, sign: Sign) -> bool {
         let pool = self.upstreams.get(upstream);
         let pool = pool.and_then(|upstream| self.pools.get_mut(upstream.pool));
         pool.is_some_and(|pool| pool.router.drain(now, upstream, sign))
     }
 
-    pub(super) fn set_portion(&mut self, now: Time, part: Part) {
-        if self.part == part {
+    pub(super) fn set_contract_fraction(&mut self, now: Time, fraction: Fraction) {
+        if self.fraction == fraction {
             return;
         }
-        self.part = part;
+        self.fraction = fraction;
         for customer in self.customers.values_mut() {
-            customer.set_part(now, part);
+            customer.set_fraction(now, fraction);
         }
         let keys: Vec<customer::Key> = self.customers.keys().collect();
         for key in keys {
-            self.wake_customer(key);
+            self.unpark_customer(key);
         }
     }
 
@@ -59,19 +59,20 @@
         if self.pools.len() < before {
             self.refuse_orphans(now, decisions);
         }
-        for entry in &snapshot.pools {
-            if !self.pools.contains_key(entry.key) {
-                self.pools.insert(entry.key, Pool::new(self.limit.tickets));
+        for configured in &snapshot.pools {
+            if !self.pools.contains_key(configured.key) {
+                self.pools
+                    .insert(configured.key, Pool::new(self.limit.tickets));
             }
-            let pool = &mut self.pools[entry.key];
-            pool.attempt_timeout = entry.policy.attempt_timeout;
-            pool.upstream_slots = entry.policy.slots;
-            pool.members.clear();
+            let pool = &mut self.pools[configured.key];
+            pool.attempt_timeout = configured.policy.attempt_timeout;
+            pool.upstream_slots = configured.policy.slots;
+            pool.upstreams.clear();
             pool.dirty = true;
         }
     }
 
-    /// Refuses requests whose queue has gone with its pool.
+    /// Refuses queued requests whose pool was removed.
     fn refuse_orphans(&mut self, now: Time, decisions: &mut Vec<Decision>) {
         let queued = self.tickets.iter().filter(|(_, ticket)| {
             matches!(ticket.stage, Stage::Queued) && !self.pools.contains_key(ticket.arrival.pool)
@@ -81,7 +82,11 @@
     }
 
     fn apply_customers(&mut self, now: Time, snapshot: &Snapshot, decisions: &mut Vec<Decision>) {
-        let kept: BTreeSet<_> = snapshot.customers.iter().map(|entry| entry.key).collect();
+        let kept: BTreeSet<_> = snapshot
+            .customers
+            .iter()
+            .map(|configured| configured.key)
+            .collect();
         let gone = self.customers.keys().filter(|key| !kept.contains(key));
         let gone: Vec<customer::Key> = gone.collect();
         for key in gone {
@@ -90,44 +95,44 @@
             let pools = shares.into_iter().map(|(pool, _)| pool);
             self.remove_from_queues(now, key, pools, Reason::Unauthenticated, decisions);
         }
-        for entry in &snapshot.customers {
-            self.apply_customer(now, entry, decisions);
+        for configured in &snapshot.customers {
+            self.apply_customer(now, configured, decisions);
         }
     }
 
     fn apply_customer(
         &mut self,
         now: Time,
-        entry: &catalog::Customer,
+        configured: &catalog::Customer,
         decisions: &mut Vec<Decision>,
     ) {
-        let known = self.customers.get(entry.key);
-        if known.is_some_and(|customer| customer.is_same(entry)) {
+        let known = self.customers.get(configured.key);
+        if known.is_some_and(|customer| customer.is_same(configured)) {
             return;
         }
-        let part = self.part;
+        let fraction = self.fraction;
         let mut before = Vec::new();
-        match self.customers.get_mut(entry.key) {
+        match self.customers.get_mut(configured.key) {
             Some(customer) => {
                 before.clone_from(&customer.shares);
-                customer.update(now, entry, part);
+                customer.update(now, configured, fraction);
             }
             None => {
-                let customer = Customer::new(now, entry, part);
-                self.customers.insert(entry.key, customer);
+                let customer = Customer::new(now, configured, fraction);
+                self.customers.insert(configured.key, customer);
             }
         }
-        let kept: BTreeSet<_> = entry.shares.iter().map(|(pool, _)| *pool).collect();
+        let kept: BTreeSet<_> = configured.shares.iter().map(|(pool, _)| *pool).collect();
         let lost = before.into_iter().map(|(pool, _)| pool);
         let lost = lost.filter(|pool| !kept.contains(pool));
-        self.remove_from_queues(now, entry.key, lost, Reason::PoolUnknown, decisions);
-        let customer = &self.customers[entry.key];
-        for &(pool, share) in &entry.shares {
+        self.remove_from_queues(now, configured.key, lost, Reason::PoolUnknown, decisions);
+        let customer = &self.customers[configured.key];
+        for &(pool, share) in &configured.shares {
             if let Some(pool) = self.pools.get_mut(pool) {
                 let queue = &mut pool.queue;
-                queue.set_customer(now, entry.key, share, &customer.classes);
-                queue.set_spill(entry.key, customer.spill);
-                pool.change_backlog(now, entry.key, |backlog| {
+                queue.set_customer(now, configured.key, share, &customer.classes);
+                queue.set_spill(configured.key, customer.spill);
+                pool.update_backlog(now, configured.key, |backlog| {
                     backlog.set_share(share, customer.spill, &customer.classes);
                 });
             }
@@ -146,7 +151,7 @@
         for pool in pools {
             if let Some(pool) = self.pools.get_mut(pool) {
                 pool.queue.remove_customer(customer, &mut removed);
-                pool.change_backlog(now, customer, |backlog| backlog.set_share(0, false, &[]));
+                pool.update_backlog(now, customer, |backlog| backlog.set_share(0, false, &[]));
             }
         }
         self.refuse_removed(now, removed, reason, decisions);
@@ -160,7 +165,7 @@
         decisions: &mut Vec<Decision>,
     ) {
         for key in removed {
-            if let Some(ticket) = self.forget(now, key) {
+            if let Some(ticket) = self.remove_ticket(now, key) {
                 let refusal = ticket.refusal(Refusal::not_run(reason));
                 let caller = ticket.arrival.caller;
                 decisions.push(Decision::Refuse { caller, refusal });
@@ -182,20 +187,20 @@
             }
             keep
         });
-        for entry in &snapshot.upstreams {
-            let Some(pool) = self.pools.get_mut(entry.pool) else {
+        for configured in &snapshot.upstreams {
+            let Some(pool) = self.pools.get_mut(configured.pool) else {
                 continue;
             };
             let site = Site {
-                availability_zone: entry.availability_zone,
+                availability_zone: configured.availability_zone,
                 slots: pool.upstream_slots,
             };
-            pool.members.push(entry.key);
-            pool.router.insert(now, entry.key, site);
-            if entry.leaving {
-                pool.router.drain(now, entry.key, Sign::List);
+            pool.upstreams.push(configured.key);
+            pool.router.insert(now, configured.key, site);
+            if configured.leaving {
+                pool.router.drain(now, configured.key, Sign::List);
             }
-            self.keep_upstream(entry, site);
+            self.upsert_upstream(configured, site);
         }
     }
 }
--- a/crates/dispatch/src/engine/customer.rs
+++ b/crates/dispatch/src/engine/customer.rs
@@ -14,10 +14,10 @@
 use slotmap::SecondaryMap;
 use std::sync::Arc;
 
-/// The newest service time counts as one part in this many of the average.
-const COST_WEIGHT: u32 = 8;
+/// The latest service time has a weight of one part in this many in the moving average.
+const COST_AVERAGE_DIVISOR: u32 = 8;
 
-/// Limits and learned costs of one customer.
+/// Limits and average service times of one customer.
 #[derive(Debug)]
 pub(super) struct Customer {
     pub(super) bucket: Bucket,
@@ -32,11 +32,11 @@
 }
 
 impl Customer {
-    pub(super) fn new(now: Time, entry: &catalog::Customer, rate_part: Part) -> Self {
-        let contract = &entry.contract;
-        let rate = rate_part.of(contract.rate.per_second);
+    pub(super) fn new(now: Time, configured: &catalog::Customer, fraction: Fraction) -> Self {
+        let contract = &configured.contract;
+        let rate = fraction.of(contract.rate.per_second);
         let mut customer = Self {
-            bucket: Bucket::new(now, rate, rate_part.of(contract.rate.burst)),
+            bucket: Bucket::new(now, rate, fraction.of(contract.rate.burst)),
             budget: Budget::new(contract.retry_percent),
             concurrency: u32::MAX,
             contract: contract.clone(),
@@ -46,17 +46,17 @@
             shares: Vec::new(),
             costs: SecondaryMap::new(),
         };
-        customer.update(now, entry, rate_part);
+        customer.update(now, configured, fraction);
         customer
     }
 
-    pub(super) fn update(&mut self, now: Time, entry: &catalog::Customer, rate_part: Part) {
-        let contract = &entry.contract;
+    pub(super) fn update(&mut self, now: Time, configured: &catalog::Customer, fraction: Fraction) {
+        let contract = &configured.contract;
         self.contract = contract.clone();
-        self.set_part(now, rate_part);
+        self.set_fraction(now, fraction);
         self.budget.resize(contract.retry_percent);
         self.spill = contract.spill;
-        self.shares.clone_from(&entry.shares);
+        self.shares.clone_from(&configured.shares);
         let classes = contract.classes.iter().map(|class| Class {
             share: class.share,
             timeout: class.queue_timeout,
@@ -65,20 +65,24 @@
         self.classes = classes.collect();
     }
 
-    /// Tells whether an entry of a snapshot changes nothing; a pool that was made anew has a new key.
-    pub(super) fn is_same(&self, entry: &catalog::Customer) -> bool {
-        let same = Arc::ptr_eq(&self.contract, &entry.contract) || self.contract == entry.contract;
-        same && self.shares == entry.shares
+    /// Returns whether the customer in a snapshot has the same contract and shares.
+    ///
+    /// A pool that was removed and added again has a new key, so its share counts as changed.
+    pub(super) fn is_same(&self, configured: &catalog::Customer) -> bool {
+        let same = Arc::ptr_eq(&self.contract, &configured.contract)
+            || self.contract == configured.contract;
+        same && self.shares == configured.shares
     }
 
-    /// Limits rate and concurrency to this entry's part of the contract.
-    pub(super) fn set_part(&mut self, now: Time, part: Part) {
+    /// Limits rate and concurrency to this entry's fraction of the contract.
+    pub(super) fn set_fraction(&mut self, now: Time, fraction: Fraction) {
         let contract = &self.contract;
-        let rate = part.of(contract.rate.per_second);
-        self.bucket.resize(now, rate, part.of(contract.rate.burst));
+        let rate = fraction.of(contract.rate.per_second);
+        self.bucket
+            .resize(now, rate, fraction.of(contract.rate.burst));
         self.concurrency = contract
             .concurrency
-            .map_or(u32::MAX, |slots| part.of(slots));
+            .map_or(u32::MAX, |slots| fraction.of(slots));
     }
 
     /// Returns the expected time in a slot of `pool`, or `default` if none is known.
@@ -90,8 +94,8 @@
         known.filter(|cost| !cost.is_zero()).unwrap_or(default)
     }
 
-    /// Learns from one service time.
-    pub(super) fn learn(&mut self, pool: pool::Key, class: class::Index, actual: Duration) {
+    /// Updates the average service time with an `actual` one.
+    pub(super) fn record_cost(&mut self, pool: pool::Key, class: class::Index, actual: Duration) {
         let Some(costs) = self.costs.entry(pool) else {
             return;
         };
@@ -99,20 +103,20 @@
         let cost = &mut costs[usize::from(class.0)];
         *cost = match *cost {
             Duration::ZERO => actual,
-            known => known - known / COST_WEIGHT + actual / COST_WEIGHT,
+            known => known - known / COST_AVERAGE_DIVISOR + actual / COST_AVERAGE_DIVISOR,
         };
     }
 }
 
-/// Part of a contract that one of several entries may use.
+/// Fraction of a contract that this entry may use: one of `entries` equal parts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Part {
+pub(super) struct Fraction {
     /// Live entries that share the contract, at least 1.
     pub(super) entries: u32,
 }
 
-impl Part {
-    /// Returns this entry's part of `limit`, rounded up so that it is never 0.
+impl Fraction {
+    /// Returns this entry's part of `limit`, rounded up so that it is never 0 for a limit above 0.
     pub(super) fn of(self, limit: u32) -> u32 {
         limit.div_ceil(self.entries.max(1))
     }
--- a/crates/dispatch/src/engine/engine.rs
+++ b/crates/dispatch/src/engine/engine.rs
@@ -1,10 +1,10 @@
-//! The engine and its life of a request.
+//! The engine, and the path of a request through it.
 
 use super::{
     Arrival, Decision, Limit,
     customer::{
         Customer,
-        Part, //
+        Fraction, //
     },
     partition::{
         Demand,
@@ -43,42 +43,48 @@
 pub struct Engine {
     pub(super) home: availability_zone::Key,
     pub(super) limit: Limit,
-    pub(super) part: Part,
+    pub(super) fraction: Fraction,
     pub(super) complete: bool,
     pub(super) customers: SecondaryMap<customer::Key, Customer>,
     pub(super) pools: SecondaryMap<pool::Key, Pool>,
     pub(super) upstreams: SecondaryMap<upstream::Key, Upstream>,
-    pub(super) me: u64,
+    pub(super) own_id: u64,
     pub(super) peers: Vec<Peer>,
+    /// Demand of this entry as the other entries were told, sorted by pool.
     pub(super) reported: Vec<Demand>,
     pub(super) tickets: SlotMap<ticket::Key, Ticket>,
+    /// Ticket of each caller, for each exchange thread.
     pub(super) callers: Vec<SecondaryMap<caller::Key, ticket::Key>>,
+    /// Requests that wait for a retry or for the refusal after their last attempt, earliest first.
     pub(super) retries: BinaryHeap<Reverse<(Time, ticket::Key)>>,
+    /// Buffer for expired requests, kept between polls so that it is allocated once.
     pub(super) expired: Vec<(ticket::Key, Refusal)>,
-    pub(super) random: u64,
+    /// State of the generator of backoff jitter.
+    pub(super) jitter_state: u64,
 }
 
 impl Engine {
-    /// Makes an engine that admits nothing until it gets a configuration.
+    /// Creates an engine that admits no request until it gets a configuration.
     ///
-    /// `threads` is the number of exchange threads, `me` the identity of this process that all entries know.
-    pub fn new(home: availability_zone::Key, threads: u8, limit: Limit, me: u64) -> Self {
+    /// `threads` is the number of exchange threads, and `own_id` the identity under which the other entries know
+    /// this process.
+    pub fn new(home: availability_zone::Key, threads: u8, limit: Limit, own_id: u64) -> Self {
         Self {
             home,
             limit,
-            part: Part { entries: 1 },
+            fraction: Fraction { entries: 1 },
             complete: false,
             customers: SecondaryMap::new(),
             pools: SecondaryMap::new(),
             upstreams: SecondaryMap::new(),
-            me,
+            own_id,
             peers: Vec::new(),
             reported: Vec::new(),
             tickets: SlotMap::with_capacity_and_key(limit.tickets),
             callers: (0..threads).map(|_| SecondaryMap::new()).collect(),
             retries: BinaryHeap::with_capacity(limit.tickets),
             expired: Vec::with_capacity(limit.tickets),
-            random: me,
+            jitter_state: own_id,
         }
     }
 
@@ -97,20 +103,21 @@
         self.pools.values().flat_map(|pool| pool.router.statuses())
     }
 
-    /// Takes a request in.
+    /// Admits a request to the queue of its pool.
     ///
     /// # Errors
     ///
-    /// Refuses the request as "not run" if a limit of its contract or of the engine is reached.
+    /// Refuses the request as "not run" if a limit of its contract or of the engine is reached, if its deadline can't
+    /// be met, if the pool has no upstream for it, or if the configuration lacks its customer or pool.
     pub fn arrive(&mut self, now: Time, arrival: Arrival) -> Result<(), Refusal> {
         if !self.complete {
-            return Err(self.refuse(Reason::Unconfigured));
+            return Err(self.refusal(Reason::Unconfigured));
         }
         if self.tickets.len() >= self.limit.tickets {
-            return Err(self.refuse(Reason::Overloaded));
+            return Err(self.refusal(Reason::Overloaded));
         }
-        // The caller was authenticated by a configuration that has changed in between.
-        let unconfigured = self.refuse(Reason::Unconfigured);
+        // The customer may have been removed since the caller was authenticated.
+        let unconfigured = self.refusal(Reason::Unconfigured);
         let customer = self.customers.get_mut(arrival.customer);
         let customer = customer.ok_or(unconfigured)?;
         customer
@@ -133,14 +140,14 @@
         if let Some(callers) = self.callers.get_mut(usize::from(arrival.caller.thread)) {
             callers.insert(arrival.caller.key, key);
         }
-        self.count_pending(now, key, 1);
+        self.adjust_pending(now, key, 1);
         Ok(())
     }
 
-    /// Takes note that the attempt of `caller` has ended.
+    /// Records the end of the running attempt for `caller`.
     ///
-    /// An answer ends the request. Otherwise the request is retried where that can't run it twice, or a refusal
-    /// comes out of [`Engine::poll`].
+    /// An answer ends the request. After a failure, the request is retried unless that could run a non-idempotent
+    /// request twice or a limit forbids it; otherwise [`Engine::poll`] refuses it.
     pub fn finish(&mut self, now: Time, caller: caller::Handle, report: Report) {
         let Some(key) = self.lookup(caller) else {
             return;
@@ -156,16 +163,18 @@
         else {
             return;
         };
-        self.release(now, ticket.arrival.pool, upstream, &grant, since, report);
+        self.release_slot(now, ticket.arrival.pool, upstream, &grant, since, report);
         self.after_attempt(now, key, upstream, report);
     }
 
-    /// Forgets a request whose caller has gone; a running attempt must be ended by the caller of this function.
+    /// Removes a request whose caller has disconnected.
+    ///
+    /// The caller of this function has to end a running attempt itself.
     pub fn cancel(&mut self, now: Time, caller: caller::Handle) {
         let Some(key) = self.lookup(caller) else {
             return;
         };
-        let Some(ticket) = self.forget(now, key) else {
+        let Some(ticket) = self.remove_ticket(now, key) else {
             return;
         };
         match ticket.stage {
@@ -180,7 +189,7 @@
                 since,
             } => {
                 let pool = ticket.arrival.pool;
-                self.release(now, pool, upstream, &grant, since, Report::Cancelled);
+                self.release_slot(now, pool, upstream, &grant, since, Report::Cancelled);
             }
             Stage::Backoff => {}
         }
@@ -194,7 +203,7 @@
         self.grant_slots(now, decisions);
     }
 
-    /// Returns when [`Engine::poll`] has to run next if nothing else happens before.
+    /// Returns the time at which [`Engine::poll`] has to run next if nothing else happens before.
     pub fn next_wakeup(&self) -> Option<Time> {
         let retry = self.retries.peek().map(|Reverse((at, _))| *at);
         let expiries = self
@@ -208,7 +217,7 @@
         expiries.chain(probes).chain(retry).min()
     }
 
-    pub(super) fn refuse(&self, reason: Reason) -> Refusal {
+    pub(super) fn refusal(&self, reason: Reason) -> Refusal {
         Refusal::not_run(reason).with_retry_after(self.limit.retry_after)
     }
 
@@ -245,9 +254,9 @@
         Ok(())
     }
 
-    /// Removes a request from the arenas.
-    pub(super) fn forget(&mut self, now: Time, key: ticket::Key) -> Option<Ticket> {
-        self.count_pending(now, key, -1);
+    /// Removes a request from all maps of the engine; the caller frees its place in the queue or its slot.
+    pub(super) fn remove_ticket(&mut self, now: Time, key: ticket::Key) -> Option<Ticket> {
+        self.adjust_pending(now, key, -1);
         let ticket = self.tickets.remove(key)?;
         let caller = ticket.arrival.caller;
         if let Some(callers) = self.callers.get_mut(usize::from(caller.thread)) {
@@ -261,7 +270,7 @@
         callers.get(caller.key).copied()
     }
 
-    fn release(
+    fn release_slot(
         &mut self,
         now: Time,
         pool_key: pool::Key,
@@ -282,15 +291,15 @@
         let limited = customer.running >= customer.concurrency;
         customer.running = customer.running.saturating_sub(1);
         if let Report::Answered(_) = report {
-            customer.learn(pool_key, grant.class, actual);
+            customer.record_cost(pool_key, grant.class, actual);
         }
         if limited {
-            self.wake_customer(grant.customer);
+            self.unpark_customer(grant.customer);
         }
     }
 
-    /// Considers a customer again in all of its pools, after its running requests or its limit have changed.
-    pub(super) fn wake_customer(&mut self, key: customer::Key) {
+    /// Makes a customer eligible again in the queues of all its pools, after its running requests or its limit changed.
+    pub(super) fn unpark_customer(&mut self, key: customer::Key) {
         let Some(customer) = self.customers.get(key) else {
             return;
         };
@@ -302,8 +311,9 @@
         }
     }
 
-    /// Lets ejected upstreams take their probe, also if nothing is queued: slots that only a probe brings back would
-    /// otherwise stay at 0, and every arrival would be refused.
+    /// Lets ejected upstreams take their probe even if nothing is queued.
+    ///
+    /// Otherwise a pool whose upstreams are all ejected keeps 0 slots, and every arrival is refused.
     fn start_probes(&mut self, now: Time) {
         for pool in self.pools.values_mut() {
             if pool.router.next_probe().is_some_and(|at| at <= now) {
@@ -320,7 +330,7 @@
             pool.queue.expire(now, &mut expired);
         }
         for (key, refusal) in expired.drain(..) {
-            if let Some(ticket) = self.forget(now, key) {
+            if let Some(ticket) = self.remove_ticket(now, key) {
                 let refusal = ticket.refusal(refusal);
                 let caller = ticket.arrival.caller;
                 decisions.push(Decision::Refuse { caller, refusal });
--- a/crates/dispatch/src/engine/grant.rs
+++ b/crates/dispatch/src/engine/grant.rs
@@ -1,4 +1,4 @@
-//! Slots for queued requests.
+//! Assignment of free slots to queued requests.
 
 use super::{
     Decision, Engine,
@@ -19,8 +19,8 @@
     SlotMap, //
 };
 
-/// What the grants of one poll read and change besides the pool.
-struct Scope<'a> {
+/// State that the grants of one poll use, apart from the pool itself.
+struct Context<'a> {
     now: Time,
     home: availability_zone::Key,
     customers: &'a mut SecondaryMap<customer::Key, Customer>,
@@ -32,7 +32,7 @@
 impl Engine {
     /// Starts queued requests in all pools where a slot may be free.
     pub(super) fn grant_slots(&mut self, now: Time, decisions: &mut Vec<Decision>) {
-        let mut scope = Scope {
+        let mut context = Context {
             now,
             home: self.home,
             customers: &mut self.customers,
@@ -42,21 +42,21 @@
         };
         for pool in self.pools.values_mut().filter(|pool| pool.dirty) {
             pool.dirty = false;
-            scope.serve(pool);
+            context.start_requests(pool);
         }
     }
 }
 
-impl Scope<'_> {
-    fn serve(&mut self, pool: &mut Pool) {
-        while self.start(pool, false) {}
+impl Context<'_> {
+    fn start_requests(&mut self, pool: &mut Pool) {
+        while self.start_request(pool, false) {}
         if pool.spillable > 0 {
-            while self.start(pool, true) {}
+            while self.start_request(pool, true) {}
         }
     }
 
-    /// Starts one request; tells whether another one may follow.
-    fn start(&mut self, pool: &mut Pool, spill: bool) -> bool {
+    /// Starts one request; returns whether another one may follow.
+    fn start_request(&mut self, pool: &mut Pool, spill: bool) -> bool {
         if pool.queue.is_empty() {
             return false;
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sends a granted request out; tells whether the slot is used.
+    /// Forwards a granted request to an upstream; returns whether it takes the slot.
     fn forward(
         &mut self,
         pool: &mut Pool,
@@ -96,7 +96,7 @@
         let Some(ticket) = self.tickets.get_mut(grant.ticket) else {
             return false;
         };
-        let upstream = other_upstream(self.now, self.home, pool, spill, ticket, chosen);
+        let upstream = avoid_failed_upstream(self.now, self.home, pool, spill, ticket, chosen);
         let Some(address) = self.upstreams.get(upstream).map(|it| it.address) else {
             return false;
         };
@@ -111,15 +111,15 @@
         self.decisions.push(Decision::Forward {
             caller: ticket.arrival.caller,
             target: Target { upstream, address },
-            until: ticket.until(self.now, pool.attempt_timeout),
+            until: ticket.attempt_end(self.now, pool.attempt_timeout),
             retry: ticket.failed,
         });
         true
     }
 }
 
-/// Swaps the chosen upstream for another one if the same request has just failed there.
-fn other_upstream(
+/// Replaces the chosen upstream by another one if the last attempt of the request failed there.
+fn avoid_failed_upstream(
     now: Time,
     home: availability_zone::Key,
     pool: &mut Pool,
--- a/crates/dispatch/src/engine/limit.rs
+++ b/crates/dispatch/src/engine/limit.rs
@@ -1,18 +1,18 @@
-//! Bounds of the engine.
+//! Limits of the engine.
 
 use core::time::Duration;
 use sassafrascrank_retry::Backoff;
 
-/// Bounds of one engine.
+/// Limits of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
-    /// Most requests that the engine knows at once, queued or running.
+    /// Maximum number of requests that are queued, running or waiting for a retry.
     pub tickets: usize,
-    /// Most attempts for one request, the first one included.
+    /// Maximum number of attempts for one request, including the first.
     pub attempts: u32,
     /// Delay before a retry.
     pub backoff: Backoff,
-    /// What a refused caller is told to wait at least.
+    /// Time after which a refused caller may try again, if no better estimate is known.
     pub retry_after: Duration,
 }
 
--- a/crates/dispatch/src/engine/mod.rs
+++ b/crates/dispatch/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine that decides on each request.
+//! The engine that decides on admission, order, upstream and retries of each request.
 
 mod arrival;
 mod attempt;
--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -1,9 +1,9 @@
-//! This entry's part of contracts and upstreams.
+//! Division of contracts and upstream slots between the entries.
 
 use super::{
     Engine,
-    backlog::Size,
-    customer::Part as Portion, //
+    backlog::Capacity,
+    customer::Fraction, //
 };
 use crate::catalog;
 use core::net::SocketAddr;
@@ -25,18 +25,18 @@
     pub(super) address: SocketAddr,
     site: Site,
     part: Part,
-    /// Whether the part has had its first value.
-    started: bool,
-    /// Latest division; the part follows it with a delay.
+    /// Whether `part` has been set for the first time.
+    initialised: bool,
+    /// Slots by the latest division; `part` follows them with a delay.
     target: u32,
-    /// Whether the router knows the part.
+    /// Whether the router has been given the slots of `part`.
     applied: bool,
 }
 
 /// Demand of one entry for one pool, in thousandths of a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Demand {
-    /// The pool.
+    /// Pool that the demand is for.
     pub pool: pool::Key,
     /// Slots that the entry could use.
     pub millislots: u64,
@@ -47,22 +47,22 @@
 /// Another entry and what it last reported.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Identity that all entries know.
+    /// Identity of the entry, the same at all entries.
     pub id: u64,
     /// Where the entry runs.
     pub availability_zone: availability_zone::Key,
-    /// When its last report came, or when its membership became known.
+    /// Time of its last report, or the time at which its membership became known.
     pub last_report: Time,
     /// Its demand; pools without demand may be missing.
     pub demands: Vec<Demand>,
 }
 
 impl Peer {
-    /// Returns the time from which silence counts.
+    /// Returns the time since which the entry counts as silent.
     ///
-    /// Entries of other zones report less often; their silence is noticed by the owner of the engine, which forgets
-    /// them.
-    fn last_heard(&self, now: Time, home: availability_zone::Key) -> Time {
+    /// Entries of other zones report less often, so they never count as silent here. The owner of the engine notices
+    /// when they stop reporting, and calls [`Engine::remove_peer`].
+    fn silent_since(&self, now: Time, home: availability_zone::Key) -> Time {
         match self.availability_zone == home {
             true => self.last_report,
             false => now,
@@ -71,10 +71,10 @@
 }
 
 impl Engine {
-    /// Takes note of what another entry reported.
+    /// Replaces what is known of another entry by its latest report.
     pub fn update_peer(&mut self, mut peer: Peer) {
         peer.demands.sort_unstable_by_key(|demand| demand.pool);
-        if peer.id == self.me {
+        if peer.id == self.own_id {
             return;
         }
         match self.peers.iter_mut().find(|known| known.id == peer.id) {
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Takes note of an entry whose membership has become known, so that it gets its part before its first report.
+    /// Adds an entry whose membership has become known, so that it gets its part before its first report.
     pub fn add_peer(&mut self, now: Time, id: u64, availability_zone: availability_zone::Key) {
-        if id == self.me || self.peers.iter().any(|peer| peer.id == id) {
+        if id == self.own_id || self.peers.iter().any(|peer| peer.id == id) {
             return;
         }
         self.peers.push(Peer {
@@ -96,12 +96,12 @@
         });
     }
 
-    /// Goes on under another identity that all entries know.
-    pub fn set_identity(&mut self, me: u64) {
-        self.me = me;
+    /// Changes the identity under which the other entries know this one.
+    pub fn set_identity(&mut self, own_id: u64) {
+        self.own_id = own_id;
     }
 
-    /// Forgets an entry that has left.
+    /// Removes an entry that has left or can no longer be reached.
     pub fn remove_peer(&mut self, id: u64) {
         self.peers.retain(|peer| peer.id != id);
     }
@@ -114,7 +114,8 @@
                 let silent = now.since(peer.last_report) >= SILENCE_LIMIT;
                 peer.availability_zone == self.home && !silent
             });
-            let wants = others.map(|peer| find(&peer.demands, key).map_or(0, |it| it.millislots));
+            let wants =
+                others.map(|peer| find_demand(&peer.demands, key).map_or(0, |it| it.millislots));
             // The division gives each entry one slot at least.
             let (count, wanted) = wants.fold((0, 0), |(count, sum), want| {
                 (count + 1, sum + want.max(partition::MILLI))
@@ -131,29 +132,29 @@
         demands
     }
 
-    /// Replaces this entry's demand by what the others are told, so that all entries divide by the same figures.
+    /// Sets this entry's demand to what the other entries were told, so that all entries divide by the same figures.
     pub fn set_reported(&mut self, mut demands: Vec<Demand>) {
         demands.sort_unstable_by_key(|demand| demand.pool);
         self.reported = demands;
     }
 
-    /// Divides slots and contracts again; due once in each report interval.
+    /// Divides slots and contracts between the live entries; to be called once in each report interval.
     pub fn divide(&mut self, now: Time) {
         let home = self.home;
         self.peers
-            .retain(|peer| now.since(peer.last_heard(now, home)) < 2 * SILENCE_LIMIT);
+            .retain(|peer| now.since(peer.silent_since(now, home)) < 2 * SILENCE_LIMIT);
         let live = self
             .peers
             .iter()
-            .filter(|peer| now.since(peer.last_heard(now, home)) < SILENCE_LIMIT);
+            .filter(|peer| now.since(peer.silent_since(now, home)) < SILENCE_LIMIT);
         let entries = u32::try_from(live.count())
             .unwrap_or(u32::MAX)
             .saturating_add(1);
-        self.set_portion(now, Portion { entries });
+        self.set_contract_fraction(now, Fraction { entries });
         self.divide_slots(now);
     }
 
-    pub(super) fn count_pending(&mut self, now: Time, key: ticket::Key, change: i32) {
+    pub(super) fn adjust_pending(&mut self, now: Time, key: ticket::Key, change: i32) {
         let Some(ticket) = self.tickets.get(key) else {
             return;
         };
@@ -165,26 +166,28 @@
             pool.spillable = pool.spillable.saturating_add_signed(change);
         }
         let (customer, class) = (ticket.arrival.customer, ticket.arrival.class);
-        pool.change_backlog(now, customer, |backlog| backlog.count(class, change));
+        pool.update_backlog(now, customer, |backlog| {
+            backlog.adjust_pending(class, change)
+        });
     }
 
-    pub(super) fn keep_upstream(&mut self, entry: &catalog::Upstream, site: Site) {
-        if let Some(known) = self.upstreams.get_mut(entry.key) {
-            known.address = entry.address;
+    pub(super) fn upsert_upstream(&mut self, configured: &catalog::Upstream, site: Site) {
+        if let Some(known) = self.upstreams.get_mut(configured.key) {
+            known.address = configured.address;
             known.site = site;
             return;
         }
         let upstream = Upstream {
-            id: entry.id,
-            pool: entry.pool,
-            address: entry.address,
+            id: configured.id,
+            pool: configured.pool,
+            address: configured.address,
             site,
             part: Part::new(0),
-            started: false,
+            initialised: false,
             target: 0,
             applied: false,
         };
-        self.upstreams.insert(entry.key, upstream);
+        self.upstreams.insert(configured.key, upstream);
     }
 
     pub(super) fn divide_slots(&mut self, now: Time) {
@@ -201,33 +204,37 @@
             return;
         };
         let router = &pool.router;
-        // The slots of a draining upstream are no use to any entry.
+        // No entry can use the slots of a draining upstream, so they are not divided.
         let draining = |key| {
             let status = router.status(key);
             status.is_some_and(|status| status.drain.is_some())
         };
-        let known = pool.members.iter().filter(|key| !draining(**key));
-        let known = known.filter_map(|&key| Some((key, self.upstreams.get(key)?.share())));
+        let known = pool.upstreams.iter().filter(|key| !draining(**key));
+        let known =
+            known.filter_map(|&key| Some((key, self.upstreams.get(key)?.partition_input())));
         let (keys, upstreams): (Vec<_>, Vec<_>) = known.unzip();
-        let size = size(self.home, &upstreams);
-        let targets = partition::divide(now, self.me, &entries, &upstreams);
-        let firsts = partition::start(self.me, self.home, &upstreams);
+        let capacity = capacity(self.home, &upstreams);
+        let targets = partition::divide(now, self.own_id, &entries, &upstreams);
+        let initial = partition::start(self.own_id, self.home, &upstreams);
         for (index, key) in keys.into_iter().enumerate() {
             let Some(upstream) = self.upstreams.get_mut(key) else {
                 continue;
             };
-            if !upstream.started {
-                upstream.started = true;
-                upstream.part = Part::new(firsts[index].min(targets[index]));
+            if !upstream.initialised {
+                upstream.initialised = true;
+                upstream.part = Part::new(initial[index].min(targets[index]));
             }
             upstream.target = targets[index];
         }
         if let Some(pool) = self.pools.get_mut(key) {
-            pool.resize(now, size);
+            pool.set_capacity(now, capacity);
         }
     }
 
-    /// Lets the parts follow their targets; due at each division and often in between, since a part grows late.
+    /// Moves the slots in use towards the latest division.
+    ///
+    /// To be called at each division and several times in between, since slots that are added take effect with a
+    /// delay.
     pub fn follow_targets(&mut self, now: Time) {
         for (key, upstream) in &mut self.upstreams {
             let before = upstream.part.slots();
@@ -245,22 +252,22 @@
     }
 
     fn entries(&self, now: Time, key: pool::Key) -> Vec<partition::Entry> {
-        let own = find(&self.reported, key);
+        let own = find_demand(&self.reported, key);
         let mine = partition::Entry {
-            id: self.me,
+            id: self.own_id,
             availability_zone: self.home,
             demand: own.map_or(0, |demand| demand.millislots),
             spill: own.map_or(0, |demand| demand.spill_millislots),
             heard: now,
         };
         let peers = self.peers.iter().map(|peer| {
-            let demand = find(&peer.demands, key);
+            let demand = find_demand(&peer.demands, key);
             partition::Entry {
                 id: peer.id,
                 availability_zone: peer.availability_zone,
                 demand: demand.map_or(0, |demand| demand.millislots),
                 spill: demand.map_or(0, |demand| demand.spill_millislots),
-                heard: peer.last_heard(now, self.home),
+                heard: peer.silent_since(now, self.home),
             }
         });
         peers.chain([mine]).collect()
@@ -268,7 +275,7 @@
 }
 
 impl Upstream {
-    fn share(&self) -> partition::Upstream {
+    fn partition_input(&self) -> partition::Upstream {
         partition::Upstream {
             id: self.id,
             availability_zone: self.site.availability_zone,
@@ -278,14 +285,14 @@
 }
 
 /// Finds the demand for a pool among demands sorted by pool.
-fn find(demands: &[Demand], pool: pool::Key) -> Option<&Demand> {
-    let place = demands.binary_search_by_key(&pool, |demand| demand.pool);
-    demands.get(place.ok()?)
+fn find_demand(demands: &[Demand], pool: pool::Key) -> Option<&Demand> {
+    let index = demands.binary_search_by_key(&pool, |demand| demand.pool);
+    demands.get(index.ok()?)
 }
 
-fn size(home: availability_zone::Key, upstreams: &[partition::Upstream]) -> Size {
+fn capacity(home: availability_zone::Key, upstreams: &[partition::Upstream]) -> Capacity {
     let own = upstreams.iter().filter(|it| it.availability_zone == home);
-    Size {
+    Capacity {
         home: own.map(|upstream| upstream.slots).sum(),
         all: upstreams.iter().map(|upstream| upstream.slots).sum(),
     }
--- a/crates/dispatch/src/engine/pool.rs
+++ b/crates/dispatch/src/engine/pool.rs
@@ -2,8 +2,8 @@
 
 use super::backlog::{
     Backlog,
-    Cover,
-    Size, //
+    Capacity,
+    Coverage, //
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_queue::Queue;
@@ -21,22 +21,23 @@
 pub(super) struct Pool {
     pub(super) queue: Queue,
     pub(super) router: Router,
+    /// Slots that this entry may use in its own availability zone.
     pub(super) slots: u32,
-    /// Upstreams of the pool in force.
-    pub(super) members: Vec<upstream::Key>,
-    /// Requests that one upstream runs at once.
+    /// Upstreams of the pool in the current snapshot.
+    pub(super) upstreams: Vec<upstream::Key>,
+    /// Maximum number of requests that one upstream runs at once.
     pub(super) upstream_slots: u32,
     /// Requests that are queued, running or waiting for a retry.
     pub(super) pending: u32,
-    /// Those of them that may leave their availability zone.
+    /// Pending requests that may use other availability zones.
     pub(super) spillable: u32,
-    /// Requests and share of each customer.
+    /// Pending requests and share of each customer.
     pub(super) backlogs: SecondaryMap<customer::Key, Backlog>,
-    /// Slots by which shares are counted.
-    size: Size,
-    /// Sum of what the contracts of all customers cover.
-    cover: Cover,
-    /// Idle slots that this entry claims beyond the contracts, in thousandths.
+    /// Slots of which contracts have a share.
+    capacity: Capacity,
+    /// Sum of the slots that the contracts of all customers cover.
+    cover: Coverage,
+    /// Idle slots that this entry claims beyond the contracts, in thousandths of a slot.
     extra: u64,
     demand: Demand,
     pub(super) attempt_timeout: Duration,
@@ -44,7 +45,7 @@
     pub(super) dirty: bool,
 }
 
-/// Load of a pool as this entry sees it.
+/// Load of a pool at this entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Load {
     /// Slots that this entry may use.
@@ -65,18 +66,18 @@
         }
     }
 
-    pub(super) fn new(capacity: usize) -> Self {
+    pub(super) fn new(queue_limit: usize) -> Self {
         Self {
-            queue: Queue::new(capacity),
+            queue: Queue::new(queue_limit),
             router: Router::new(),
             slots: 0,
-            members: Vec::new(),
+            upstreams: Vec::new(),
             upstream_slots: 0,
             pending: 0,
             spillable: 0,
             backlogs: SecondaryMap::new(),
-            size: Size::default(),
-            cover: Cover::default(),
+            capacity: Capacity::default(),
+            cover: Coverage::default(),
             extra: 0,
             demand: Demand::new(),
             attempt_timeout: Duration::ZERO,
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Changes what is known of a customer and counts what its contract covers from then on.
-    pub(super) fn change_backlog(
+    /// Changes the backlog of a customer and updates the slots that contracts cover.
+    pub(super) fn update_backlog(
         &mut self,
         now: Time,
         customer: customer::Key,
@@ -95,50 +96,56 @@
             return;
         };
         let backlog = entry.or_default();
-        let before = backlog.cover(self.size);
+        let before = backlog.cover(self.capacity);
         change(backlog);
-        let after = backlog.cover(self.size);
-        if backlog.is_over() {
+        let after = backlog.cover(self.capacity);
+        if backlog.is_empty() {
             self.backlogs.remove(customer);
         }
         self.cover.used = self.cover.used - before.used + after.used;
         self.cover.room = self.cover.room - before.room + after.room;
-        self.record(now);
+        self.record_demand(now);
     }
 
-    /// Counts shares by other numbers of slots from now on.
-    pub(super) fn resize(&mut self, now: Time, size: Size) {
-        if self.size == size {
+    /// Sets the slots of which contracts have a share, and updates the slots that they cover.
+    pub(super) fn set_capacity(&mut self, now: Time, capacity: Capacity) {
+        if self.capacity == capacity {
             return;
         }
-        self.size = size;
-        self.cover = Cover::default();
-        for cover in self.backlogs.values().map(|backlog| backlog.cover(size)) {
+        self.capacity = capacity;
+        self.cover = Coverage::default();
+        for cover in self
+            .backlogs
+            .values()
+            .map(|backlog| backlog.cover(capacity))
+        {
             self.cover.used += cover.used;
             self.cover.room += cover.room;
         }
-        self.record(now);
+        self.record_demand(now);
     }
 
-    /// Returns the demand for the next report, given what the `others` of its zone want and how many they are.
+    /// Returns the demand for the next report in thousandths of a slot.
     ///
-    /// Slots that nobody wants are claimed by parts, since all entries may claim them at the same time; a claim is
-    /// given up at once when others want more.
-    pub(super) fn report(&mut self, now: Time, others: u64, count: u64) -> u64 {
+    /// `others_demand` is the sum of what the other entries of the zone reported, in thousandths of a slot, and
+    /// `others` their number. An entry claims only its part of the idle slots in each report, since all entries may
+    /// claim them at the same time, and gives the claim up at once when others need the slots.
+    pub(super) fn report(&mut self, now: Time, others_demand: u64, others: u64) -> u64 {
         let own = self.demand.report(now);
-        let there = u64::from(self.size.home) * MILLI;
-        let claimed = others + own + self.extra;
+        let home_millislots = u64::from(self.capacity.home) * MILLI;
+        let claimed = others_demand + own + self.extra;
         let pending = u64::from(self.pending) * MILLI;
-        let moved = match claimed > there {
-            true => self.extra.saturating_sub(claimed - there),
-            false => self.extra + (there - claimed) / (count + 1),
+        let extra = match claimed > home_millislots {
+            true => self.extra.saturating_sub(claimed - home_millislots),
+            false => self.extra + (home_millislots - claimed) / (others + 1),
         };
-        self.extra = moved.min(pending.saturating_sub(own));
+        self.extra = extra.min(pending.saturating_sub(own));
         own + self.extra
     }
 
-    fn record(&mut self, now: Time) {
-        // Arrivals vary by the square root of their mean within a service time, and a part follows after two reports.
+    fn record_demand(&mut self, now: Time) {
+        // The number of arrivals in a service time varies by the square root of its mean. Slots follow a rise only
+        // after two reports, so the demand includes this variation as far as the contracts cover it.
         let spread = (self.cover.used * MILLI).isqrt();
         let slots = self.cover.used + spread.min(self.cover.room);
         let slots = u32::try_from(slots.div_ceil(MILLI));
--- a/crates/dispatch/src/engine/ticket.rs
+++ b/crates/dispatch/src/engine/ticket.rs
@@ -1,28 +1,28 @@
-//! A request that the engine knows.
+//! State of an admitted request.
 
 use super::Arrival;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_queue::Grant;
 
-/// A request and where it stands.
+/// An admitted request and its stage.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ticket {
     pub(super) arrival: Arrival,
-    /// Whether its contract let it leave its availability zone when it arrived.
+    /// Whether its contract allowed other availability zones when it arrived.
     pub(super) spill: bool,
     /// Number of attempts that have ended without an answer.
     pub(super) failed: u32,
     /// Upstream of the last failed attempt.
     pub(super) avoid: Option<upstream::Key>,
-    /// What the caller is told if no further attempt can be made.
+    /// Refusal for the caller if no further attempt can be made.
     pub(super) fallback: Refusal,
     pub(super) stage: Stage,
 }
 
 impl Ticket {
-    /// Returns what the caller is told when the request ends with `refusal`.
+    /// Returns the refusal for the caller of a request that ends with `refusal`.
     ///
-    /// Once an attempt may have run, the request can no longer end as "not run".
+    /// Once an attempt may have run, the request can no longer be reported as "not run".
     pub(super) fn refusal(&self, refusal: Refusal) -> Refusal {
         match self.fallback.outcome {
             Outcome::Unknown => self.fallback,
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Returns when an attempt that starts now is given up.
+    /// Returns the time at which an attempt that starts now is abandoned.
     ///
-    /// A request that may run only once is not given up at its caller's deadline, so that a repeat of its key
-    /// finds the answer.
-    pub(super) fn until(&self, now: Time, attempt_timeout: Duration) -> Time {
+    /// A request that may run only once is not abandoned at its caller's deadline, so that a repeated request with
+    /// the same idempotency key gets the answer.
+    pub(super) fn attempt_end(&self, now: Time, attempt_timeout: Duration) -> Time {
         let until = now + attempt_timeout;
         match self.arrival.idempotent {
             true => until.min(self.arrival.deadline),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Where a request stands.
+/// Stage of an admitted request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Stage {
     /// In the queue of its pool.
--- a/crates/dispatch/tests/common/check.rs
+++ b/crates/dispatch/tests/common/check.rs
@@ -1,6 +1,6 @@
-//! Named invariants; every message carries the seed.
+//! Invariants of the random schedules; every failure names the invariant and the seed.
 
-use super::plan::ATTEMPT_TIMEOUT;
+use super::config::ATTEMPT_TIMEOUT;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_dispatch::{
     Arrival,
@@ -18,8 +18,8 @@
     HashSet, //
 };
 
-/// Retries that a budget saves up at most, from the contract of `retry`.
-const SAVED: u32 = 10;
+/// Maximum number of retries that a budget of the `retry` crate saves up.
+const SAVED_RETRIES: u32 = 10;
 
 struct Request {
     arrival: Arrival,
@@ -30,21 +30,27 @@
 }
 
 #[derive(Default)]
-struct Spent {
+/// Use of one customer's contract.
+struct Usage {
     since: Time,
     admitted: u32,
     retries: u32,
 }
 
 pub(crate) struct Check {
+    /// Live entries that share the contracts.
     pub(crate) entries: u32,
+    /// How often each event occurred.
     pub(crate) counts: BTreeMap<String, u64>,
     seed: u64,
+    /// Requests that have not ended.
     open: HashMap<caller::Handle, Request>,
+    /// Callers of all admitted requests in order of arrival.
     order: Vec<caller::Handle>,
     drained: HashSet<upstream::Key>,
-    granted: HashSet<upstream::Key>,
-    spent: HashMap<customer::Key, Spent>,
+    /// Upstreams that got a request since the last check of the partition.
+    forwarded_to: HashSet<upstream::Key>,
+    usage: HashMap<customer::Key, Usage>,
 }
 
 impl Check {
@@ -56,8 +62,8 @@
             open: HashMap::new(),
             order: Vec::new(),
             drained: HashSet::new(),
-            granted: HashSet::new(),
-            spent: HashMap::new(),
+            forwarded_to: HashSet::new(),
+            usage: HashMap::new(),
         }
     }
 
@@ -66,21 +72,21 @@
     }
 
     #[track_caller]
-    fn hold(&self, invariant: &str, holds: bool, what: impl core::fmt::Debug) {
+    fn require(&self, invariant: &str, holds: bool, what: impl core::fmt::Debug) {
         assert!(holds, "{invariant}: seed {}: {what:?}", self.seed);
     }
 
     pub(crate) fn arrived(&mut self, now: Time, arrival: Arrival, result: Result<(), Refusal>) {
         if let Err(refusal) = result {
-            self.hold("true-not-run", refusal.outcome == Outcome::NotRun, refusal);
+            self.require("true-not-run", refusal.outcome == Outcome::NotRun, refusal);
             return self.count(&format!("refused at once: {}", refusal.reason));
         }
         self.count("admitted");
-        let spent = self.spent.entry(arrival.customer).or_default();
-        if spent.admitted == 0 {
-            spent.since = now;
+        let usage = self.usage.entry(arrival.customer).or_default();
+        if usage.admitted == 0 {
+            usage.since = now;
         }
-        spent.admitted += 1;
+        usage.admitted += 1;
         let request = Request {
             arrival,
             running: None,
@@ -94,15 +100,15 @@
 
     pub(crate) fn refused(&mut self, _now: Time, caller: caller::Handle, refusal: Refusal) {
         let request = self.open.remove(&caller);
-        self.hold("one-end", request.is_some(), (caller, refusal));
+        self.require("one-end", request.is_some(), (caller, refusal));
         let Some(request) = request else { return };
-        self.hold(
+        self.require(
             "one-end",
             request.running.is_none(),
             "refused while it runs",
         );
         let truthful = refusal.outcome != Outcome::NotRun || !request.may_have_run;
-        self.hold("true-not-run", truthful, refusal);
+        self.require("true-not-run", truthful, refusal);
         self.count(&format!("refused: {} {}", refusal.outcome, refusal.reason));
     }
 
@@ -114,10 +120,10 @@
         retry: u32,
         snapshot: &Snapshot,
     ) {
-        self.hold("drain", !self.drained.contains(&upstream), upstream);
-        self.granted.insert(upstream);
+        self.require("drain", !self.drained.contains(&upstream), upstream);
+        self.forwarded_to.insert(upstream);
         let Some(request) = self.open.get_mut(&caller) else {
-            return self.hold("one-end", false, "forwarded after its end");
+            return self.require("one-end", false, "forwarded after its end");
         };
         let arrival = request.arrival;
         let again = request.running.is_some() || (request.may_have_run && !arrival.idempotent);
@@ -125,38 +131,38 @@
         let free = retry == 1 && request.last == Some(Report::Stale);
         request.running = Some(upstream);
         request.attempts += 1;
-        self.hold("at-most-once", !again, caller);
-        self.hold("retry-count", counted, retry);
+        self.require("at-most-once", !again, caller);
+        self.require("retry-count", counted, retry);
         self.count(match (retry, free) {
             (0, _) => "first attempts",
             (_, true) => "immediate retries",
             _ => "delayed retries",
         });
-        self.contract(now, arrival, retry > 0 && !free, snapshot);
+        self.check_contract(now, arrival, retry > 0 && !free, snapshot);
     }
 
     /// Checks rate, retry budget and concurrency of a customer whose request was forwarded.
-    fn contract(&mut self, now: Time, arrival: Arrival, paid: bool, snapshot: &Snapshot) {
+    fn check_contract(&mut self, now: Time, arrival: Arrival, charged: bool, snapshot: &Snapshot) {
         let (key, pool_key) = (arrival.customer, arrival.pool);
-        let spent = self.spent.entry(key).or_default();
-        spent.retries += u32::from(paid);
-        let (admitted, retries, since) = (spent.admitted, spent.retries, spent.since);
+        let usage = self.usage.entry(key).or_default();
+        usage.retries += u32::from(charged);
+        let (admitted, retries, since) = (usage.admitted, usage.retries, usage.since);
         let Some(customer) = snapshot
             .customers
             .iter()
             .find(|customer| customer.key == key)
         else {
-            return self.hold("config", false, "customer without a contract was served");
+            return self.require("config", false, "customer without a contract was served");
         };
         let covered = customer.shares.iter().any(|(pool, _)| *pool == pool_key);
-        self.hold("config", covered, "served in a pool without a share");
+        self.require("config", covered, "served in a pool without a share");
         let contract = &customer.contract;
-        let saved = SAVED * 100 + admitted * contract.retry_percent;
-        self.hold("retry-budget", retries * 100 <= saved, (admitted, retries));
+        let saved = SAVED_RETRIES * 100 + admitted * contract.retry_percent;
+        self.require("retry-budget", retries * 100 <= saved, (admitted, retries));
         let gained = now.since(since).as_micros() * u128::from(contract.rate.per_second);
         let tokens = gained / 1_000_000 + u128::from(contract.rate.burst) + 1;
         let used = u128::from(admitted + retries);
-        self.hold("rate", used <= tokens, (used, tokens));
+        self.require("rate", used <= tokens, (used, tokens));
         let running = self
             .open
             .values()
@@ -166,10 +172,10 @@
             .map(|limit| limit.div_ceil(self.entries));
         let running = running.count();
         let within = limit.is_none_or(|limit| running <= limit as usize);
-        self.hold("concurrency", within, (running, limit));
+        self.require("concurrency", within, (running, limit));
     }
 
-    /// Notes the end of an attempt; tells whether its request is still there.
+    /// Records the end of an attempt; returns whether its request has not ended before.
     pub(crate) fn finished(&mut self, _now: Time, caller: caller::Handle, report: Report) -> bool {
         let Some(request) = self.open.get_mut(&caller) else {
             return false;
@@ -193,15 +199,15 @@
         true
     }
 
-    /// Chooses one of the newest open requests to cancel.
-    pub(crate) fn cancel(&mut self, place: usize) -> Option<caller::Handle> {
+    /// Removes an open request to be cancelled, counted from the newest one, and returns its caller.
+    pub(crate) fn cancel(&mut self, index: usize) -> Option<caller::Handle> {
         let open = self
             .order
             .iter()
             .rev()
             .filter(|caller| self.open.contains_key(caller));
         let open: Vec<_> = open.copied().collect();
-        let caller = *open.get(place % open.len().max(1))?;
+        let caller = *open.get(index % open.len().max(1))?;
         let request = self.open.remove(&caller)?;
         self.count(match (request.running, request.attempts) {
             (Some(_), _) => "cancelled while running",
@@ -218,8 +224,8 @@
         }
     }
 
-    /// Checks that no upstream that has just got work runs more than this entry's part.
-    pub(crate) fn partition(&mut self, statuses: impl Iterator<Item = Status>) {
+    /// Checks that no upstream that has just got a request runs more requests than its slots for this entry.
+    pub(crate) fn check_partition(&mut self, statuses: impl Iterator<Item = Status>) {
         for status in statuses {
             let running = self
                 .open
@@ -227,37 +233,37 @@
                 .filter(|it| it.running == Some(status.upstream))
                 .count();
             let known = status.running as usize == running;
-            self.hold("no-leak", known, (running, status));
+            self.require("no-leak", known, (running, status));
             let within = status.running <= status.quota;
-            self.hold(
+            self.require(
                 "partition",
-                within || !self.granted.contains(&status.upstream),
+                within || !self.forwarded_to.contains(&status.upstream),
                 status,
             );
         }
-        self.granted.clear();
+        self.forwarded_to.clear();
     }
 
-    pub(crate) fn waits(&self, now: Time) {
+    pub(crate) fn check_waits(&self, now: Time) {
         for request in self.open.values() {
             let latest = request.arrival.deadline + ATTEMPT_TIMEOUT;
-            self.hold("bounded-wait", now <= latest, (now, request.arrival));
+            self.require("bounded-wait", now <= latest, (now, request.arrival));
         }
     }
 
-    pub(crate) fn rest(
+    pub(crate) fn check_idle(
         &self,
         pending: usize,
         loads: impl Iterator<Item = (pool::Key, Load)>,
         statuses: impl Iterator<Item = Status>,
     ) {
-        self.hold("one-end", self.open.is_empty(), self.open.len());
-        self.hold("no-leak", pending == 0, pending);
+        self.require("one-end", self.open.is_empty(), self.open.len());
+        self.require("no-leak", pending == 0, pending);
         for (_, load) in loads {
-            self.hold("no-leak", load.running == 0 && load.queued == 0, load);
+            self.require("no-leak", load.running == 0 && load.queued == 0, load);
         }
         for status in statuses {
-            self.hold("no-leak", status.running == 0, status);
+            self.require("no-leak", status.running == 0, status);
         }
     }
 }
--- a/crates/dispatch/tests/common/plan.rs
+++ b/crates/dispatch/tests/common/config.rs
@@ -1,4 +1,4 @@
-//! Parts of configurations.
+//! Builders for configuration values and hosts.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::{
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Driver, plan and invariants of the schedules.
+//! Simulation, configuration and invariants of the random schedules.
 
 pub(crate) mod check;
-pub(crate) mod plan;
-pub(crate) mod small;
-pub(crate) mod world;
+pub(crate) mod config;
+pub(crate) mod fixture;
+pub(crate) mod simulation;
--- a/crates/dispatch/tests/common/pair.rs
+++ b/crates/dispatch/tests/common/pair.rs
@@ -1,7 +1,7 @@
-//! Two entries of one zone that exchange reports each second, with callers and upstreams in virtual time.
+//! Simulation of two entries of one zone that exchange reports each second, in virtual time.
 
 use super::{
-    plan,
+    config,
     tally::Tally, //
 };
 use core::cmp::Reverse;
@@ -30,10 +30,10 @@
     HashMap, //
 };
 
-/// Step of the simulation.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
-/// Time for parts to settle before and after work comes.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for the division of slots to settle, before the first arrivals and again before the measurement.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 
 /// Requests of one class of one customer at one entry.
 #[derive(Clone, Copy)]
@@ -43,14 +43,14 @@
     pub(crate) entry: usize,
     pub(crate) per_second: f64,
     pub(crate) deadline: Duration,
-    /// Whether it starts only when the measurement does.
-    pub(crate) late: bool,
+    /// Whether requests arrive only from the start of the measurement on.
+    pub(crate) from_measurement: bool,
 }
 
-/// A contract whose own queue is long enough for the deadlines of the loads.
+/// Returns a contract with queues that are long enough for the deadlines of the loads.
 fn contract(share: u32) -> Value {
     let rate = (1_000_000, 1_000_000);
-    let value = plan::contract(&[("alba", share)], rate, None, false);
+    let value = config::contract(&[("alba", share)], rate, None, false);
     let Value::Contract(contract) = value else {
         return value;
     };
@@ -62,6 +62,7 @@
     Value::Contract(contract.into())
 }
 
+/// Customer, class and entry.
 type Flow = (usize, u8, usize);
 
 struct Request {
@@ -73,9 +74,10 @@
 
 pub(crate) struct Pair {
     pub(crate) tallies: BTreeMap<Flow, Tally>,
+    /// Requests that arrived before the measurement.
     uncounted: Tally,
     seed: u64,
-    /// Arrivals and service times of each flow, so that a flood leaves those of the others as they are.
+    /// Generator of arrivals and service times of each flow, so that a flood doesn't change those of other flows.
     random: HashMap<Flow, StdRng>,
     now: Time,
     engines: [Engine; 2],
@@ -86,15 +88,15 @@
     requests: HashMap<caller::Key, Request>,
     /// Ends of attempts: time, entry, caller, service time.
     ends: BinaryHeap<Reverse<(Time, usize, caller::Key, Duration)>>,
-    /// Slots used and slots there while something was queued, for each entry and for both.
+    /// Used and available slots, summed over the steps with a queued request, for each entry and for both together.
     used: [(u64, u64); 3],
-    /// While every attempt breaks: from, until.
+    /// Start and end of an outage in which every attempt fails.
     pub(crate) outage: Option<(Time, Time)>,
-    /// First attempts and retries of each customer at each entry, from the start on.
+    /// First attempts and retries of each customer at each entry, including those before the measurement.
     pub(crate) attempts: BTreeMap<(usize, usize), [u64; 2]>,
     admissions: BTreeMap<(usize, usize), u64>,
-    /// Requests that arrive from then on are counted.
-    measured: Time,
+    /// Start of the measurement; only requests that arrive later are counted.
+    measured_from: Time,
 }
 
 impl Pair {
@@ -106,18 +108,18 @@
         service: Duration,
     ) -> Self {
         let mut catalog = Catalog::new();
-        let home = catalog.availability_zone(&plan::name("near"));
-        let mut values = plan::Values::new();
-        values.insert(Subject::Pool(plan::name("alba")), plan::pool(slots));
+        let home = catalog.availability_zone(&config::name("near"));
+        let mut values = config::Values::new();
+        values.insert(Subject::Pool(config::name("alba")), config::pool(slots));
         for (index, share) in shares.iter().enumerate() {
-            let subject = Subject::Customer(plan::name(&format!("c{index}")));
+            let subject = Subject::Customer(config::name(&format!("c{index}")));
             values.insert(subject, contract(*share));
         }
         let names: Vec<_> = (0..upstreams).map(|index| format!("h{index}")).collect();
-        values.extend(names.iter().map(|host| plan::assign(host, "alba")));
+        values.extend(names.iter().map(|host| config::assign(host, "alba")));
         let hosts: Vec<_> = names
             .iter()
-            .map(|host| plan::host(host, "near", 1))
+            .map(|host| config::host(host, "near", 1))
             .collect();
         let now = Time::from_millis(1_000_000);
         let snapshot = catalog.snapshot(1, true, values.iter(), &hosts);
@@ -143,30 +145,34 @@
             outage: None,
             attempts: BTreeMap::new(),
             admissions: BTreeMap::new(),
-            measured: now + 2 * SETTLE,
+            measured_from: now + 2 * SETTLING_TIME,
         }
     }
 
-    /// Breaks every attempt for `span` from `after` the start of the measurement on.
-    pub(crate) fn fail(&mut self, after: Duration, span: Duration) {
-        let from = self.measured + after;
+    /// Lets every attempt fail for `span`, beginning `after` the start of the measurement.
+    pub(crate) fn schedule_outage(&mut self, after: Duration, span: Duration) {
+        let from = self.measured_from + after;
         self.outage = Some((from, from + span));
     }
 
     pub(crate) fn run(&mut self, loads: &[Load], span: Duration) {
-        let start = self.now + SETTLE;
-        let measured = self.measured;
-        let stop = measured + span;
+        let start = self.now + SETTLING_TIME;
+        let measured_from = self.measured_from;
+        let stop = measured_from + span;
         while self.now < stop {
             self.now = self.now + STEP;
             if self.now.as_millis().is_multiple_of(1_000) {
-                self.exchange();
+                self.exchange_reports();
             }
-            self.finish();
+            self.finish_due();
             for load in loads {
-                let from = if load.late { measured } else { start };
+                let from = if load.from_measurement {
+                    measured_from
+                } else {
+                    start
+                };
                 if self.now >= from {
-                    self.send(load);
+                    self.send_requests(load);
                 }
             }
             for entry in 0..2 {
@@ -175,19 +181,19 @@
                 }
                 self.poll(entry);
             }
-            if self.now >= measured {
-                self.measure();
+            if self.now >= measured_from {
+                self.record_utilisation();
             }
         }
-        // Requests that have arrived before the stop are still answered.
+        // Requests that arrived before the end of the run are still answered or refused.
         while self.engines.iter().any(|engine| engine.pending() > 0) {
             self.now = self.now + STEP;
-            self.finish();
+            self.finish_due();
             (0..2).for_each(|entry| self.poll(entry));
         }
     }
 
-    /// Requests of a customer that an entry admitted.
+    /// Returns the number of requests of a customer that an entry admitted.
     pub(crate) fn admitted(&self, customer: usize, entry: usize) -> u64 {
         self.admissions
             .get(&(customer, entry))
@@ -195,22 +201,22 @@
             .unwrap_or(0)
     }
 
-    /// Percent of the slots of each entry in use while something was queued there.
+    /// Returns the percentage of each entry's slots in use while a request was queued there.
     pub(crate) fn used_own(&self) -> [u64; 2] {
         [self.percent(0), self.percent(1)]
     }
 
-    /// Percent of all slots in use while something was queued anywhere.
+    /// Returns the percentage of all slots in use while a request was queued at any entry.
     pub(crate) fn used_whole(&self) -> u64 {
         self.percent(2)
     }
 
-    fn percent(&self, place: usize) -> u64 {
-        let (used, there) = self.used[place];
-        (100 * used).checked_div(there).unwrap_or(100)
+    fn percent(&self, index: usize) -> u64 {
+        let (used, available) = self.used[index];
+        (100 * used).checked_div(available).unwrap_or(100)
     }
 
-    fn exchange(&mut self) {
+    fn exchange_reports(&mut self) {
         let now = self.now;
         let demands = self
             .engines
@@ -231,11 +237,11 @@
         }
     }
 
-    fn send(&mut self, load: &Load) {
+    fn send_requests(&mut self, load: &Load) {
         let mean = load.per_second * STEP.as_secs_f64();
         let chance = mean.fract();
-        // A whole number of requests in each step and one more by chance, spread like independent callers.
-        let random = self.random((load.customer, load.class, load.entry));
+        // The number of requests varies from step to step like that of independent callers.
+        let random = self.flow_random((load.customer, load.class, load.entry));
         let mut count = u32::from(random.random_bool(chance));
         for _ in 0..2 * (mean as u32) {
             count += u32::from(random.random_bool(0.5));
@@ -245,7 +251,7 @@
         }
     }
 
-    fn random(&mut self, flow: Flow) -> &mut StdRng {
+    fn flow_random(&mut self, flow: Flow) -> &mut StdRng {
         let (customer, class, entry) = flow;
         let number = (customer as u64) << 32 | u64::from(class) << 16 | entry as u64;
         let seed = self.seed ^ number << 8;
@@ -265,7 +271,7 @@
             deadline,
             idempotent: true,
         };
-        let factor = self.random(flow).random_range(0.5..1.5);
+        let factor = self.flow_random(flow).random_range(0.5..1.5);
         let service = self.service.mul_f64(factor);
         let result = self.engines[load.entry].arrive(self.now, arrival);
         let tally = self.tally(flow, self.now);
@@ -296,7 +302,9 @@
         self.engines[entry].poll(self.now, &mut decisions);
         for decision in decisions {
             match decision {
-                Decision::Forward { caller, retry, .. } => self.start(entry, caller.key, retry),
+                Decision::Forward { caller, retry, .. } => {
+                    self.start_attempt(entry, caller.key, retry)
+                }
                 Decision::Refuse { caller, .. } => {
                     let request = self.requests.remove(&caller.key).unwrap();
                     let waited = self.now.since(request.arrived);
@@ -307,7 +315,7 @@
         }
     }
 
-    fn start(&mut self, entry: usize, key: caller::Key, retry: u32) {
+    fn start_attempt(&mut self, entry: usize, key: caller::Key, retry: u32) {
         let Request {
             flow,
             arrived,
@@ -320,7 +328,7 @@
         if retry == 0 {
             self.tally(flow, arrived).waits.push(waited);
         }
-        if self.is_broken() {
+        if self.is_outage() {
             let failed = Duration::ZERO;
             self.ends
                 .push(Reverse((self.now + STEP, entry, key, failed)));
@@ -330,7 +338,7 @@
             .push(Reverse((self.now + service, entry, key, service)));
     }
 
-    fn finish(&mut self) {
+    fn finish_due(&mut self) {
         while let Some(&Reverse((at, entry, key, service))) = self.ends.peek()
             && at <= self.now
         {
@@ -348,20 +356,20 @@
         }
     }
 
-    fn is_broken(&self) -> bool {
+    fn is_outage(&self) -> bool {
         let outage = self.outage;
         outage.is_some_and(|(from, until)| (from..until).contains(&self.now))
     }
 
-    /// Returns where a request counts; those from before the measurement count nowhere.
+    /// Returns the tally for a request; requests from before the measurement have one that no test reads.
     fn tally(&mut self, flow: Flow, arrived: Time) -> &mut Tally {
-        match arrived >= self.measured {
+        match arrived >= self.measured_from {
             true => self.tallies.entry(flow).or_default(),
             false => &mut self.uncounted,
         }
     }
 
-    fn measure(&mut self) {
+    fn record_utilisation(&mut self) {
         let all: u64 = self.snapshot.upstreams.len() as u64 * 8;
         let mut running = 0;
         let mut queued = 0;
--- a/crates/dispatch/tests/common/world.rs
+++ b/crates/dispatch/tests/common/simulation.rs
@@ -1,10 +1,10 @@
-//! Driver that plays exchange threads, upstreams, peers and configuration against one engine in virtual time.
+//! Simulation of exchange threads, upstreams, peers and configuration changes around one engine, in virtual time.
 
 use super::{
     check::Check,
-    plan,
-    plan::Values,
-    small, //
+    config,
+    config::Values,
+    fixture, //
 };
 use rand::{
     RngExt,
@@ -28,23 +28,28 @@
 };
 use slotmap::SlotMap;
 
-/// Chances of events in percent.
+/// Probabilities of events in percent, for each step of a schedule or each attempt.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Profile {
+    /// An attempt fails.
     pub(crate) fault: u32,
+    /// A caller disconnects.
     pub(crate) cancel: u32,
+    /// The configuration or a host changes.
     pub(crate) change: u32,
-    pub(crate) sign: u32,
-    pub(crate) still: u32,
+    /// A sign arrives that an upstream is leaving.
+    pub(crate) drain_sign: u32,
+    /// No time passes until the next step.
+    pub(crate) clock_stall: u32,
 }
 
-/// Steps of a schedule that bring new work.
+/// Steps of a schedule in which requests arrive.
 const STEPS: u32 = 40;
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks without new work after which every request must have ended.
-const REST_TICKS: u32 = 40;
+/// Ticks without arrivals after which every request must have ended.
+const IDLE_TICKS: u32 = 40;
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) random: StdRng,
     pub(crate) profile: Profile,
     pub(crate) now: Time,
@@ -55,23 +60,23 @@
     values: Values,
     hosts: Vec<Host>,
     callers: SlotMap<caller::Key, ()>,
-    /// Ends of attempts to come.
-    ends: Vec<(Time, caller::Handle, Report)>,
-    peer_heard: Option<Time>,
+    /// Future ends of running attempts.
+    attempt_ends: Vec<(Time, caller::Handle, Report)>,
+    peer_last_report: Option<Time>,
     peer_zone: availability_zone::Key,
     ticks: u32,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64, profile: Profile) -> Self {
         let mut catalog = Catalog::new();
-        let home = catalog.availability_zone(&plan::name("near"));
+        let home = catalog.availability_zone(&config::name("near"));
         let limit = Limit {
             tickets: 40,
             ..Limit::default()
         };
-        let (values, hosts) = small::small();
-        let mut world = Self {
+        let (values, hosts) = fixture::configuration();
+        let mut simulation = Self {
             random: StdRng::seed_from_u64(seed),
             profile,
             now: Time::from_millis(1_000_000),
@@ -82,40 +87,40 @@
             values,
             hosts,
             callers: SlotMap::with_key(),
-            ends: Vec::new(),
-            peer_heard: None,
+            attempt_ends: Vec::new(),
+            peer_last_report: None,
             peer_zone: home,
             ticks: 0,
         };
-        world.configure();
+        simulation.apply_configuration();
         for _ in 0..25 {
-            world.tick();
+            simulation.tick();
         }
-        world
+        simulation
     }
 
-    /// Plays the whole schedule.
+    /// Runs the whole schedule.
     pub(crate) fn run(&mut self) {
         for _ in 0..STEPS {
             self.arrive();
             if self.chance(self.profile.cancel) {
                 self.cancel();
             }
-            if self.chance(self.profile.sign) {
-                self.sign();
+            if self.chance(self.profile.drain_sign) {
+                self.drain_upstream();
             }
             if self.chance(self.profile.change) {
-                self.change();
+                self.change_configuration();
             }
-            if !self.chance(self.profile.still) {
+            if !self.chance(self.profile.clock_stall) {
                 let span = Duration::from_micros(self.random.random_range(0..40_000));
                 self.advance(self.now + span);
             }
         }
-        for _ in 0..REST_TICKS {
+        for _ in 0..IDLE_TICKS {
             self.tick();
         }
-        self.check.rest(
+        self.check.check_idle(
             self.engine.pending(),
             self.engine.loads(),
             self.engine.upstreams(),
@@ -126,10 +131,10 @@
         self.random.random_range(0..100) < percent
     }
 
-    /// Plays everything that is due until `until`, waking the engine only when it asked for it.
+    /// Processes all events until `until`; polls the engine only at the times that it asked for.
     fn advance(&mut self, until: Time) {
         loop {
-            let end = self.ends.iter().map(|(at, ..)| *at).min();
+            let end = self.attempt_ends.iter().map(|(at, ..)| *at).min();
             let wakeup = self.engine.next_wakeup();
             let next = end.into_iter().chain(wakeup).min().unwrap_or(until);
             if next > until {
@@ -149,12 +154,12 @@
         self.advance(self.now + TICK);
         self.ticks += 1;
         if self.ticks.is_multiple_of(10) {
-            self.hear();
+            self.receive_peer_report();
             let demands = self.engine.report_demand(self.now);
             self.engine.set_reported(demands);
             self.engine.divide(self.now);
             let live = self
-                .peer_heard
+                .peer_last_report
                 .is_some_and(|at| self.now.since(at) < Duration::from_secs(3));
             self.check.entries = if live { 2 } else { 1 };
         }
@@ -164,7 +169,10 @@
 
     fn finish_due(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.ends.extract_if(.., |(at, ..)| *at <= now).collect();
+        let due: Vec<_> = self
+            .attempt_ends
+            .extract_if(.., |(at, ..)| *at <= now)
+            .collect();
         for (_, caller, report) in due {
             if self.check.finished(now, caller, report) {
                 self.engine.finish(now, caller, report);
@@ -175,10 +183,10 @@
     pub(crate) fn poll(&mut self) {
         let mut decisions = Vec::new();
         self.engine.poll(self.now, &mut decisions);
-        self.take(decisions);
+        self.handle_decisions(decisions);
     }
 
-    fn take(&mut self, decisions: Vec<Decision>) {
+    fn handle_decisions(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Refuse { caller, refusal } => {
@@ -192,15 +200,15 @@
                 } => {
                     self.check
                         .forwarded(self.now, caller, target.upstream, retry, &self.snapshot);
-                    self.attempt(caller, until);
+                    self.start_attempt(caller, until);
                 }
             }
         }
-        self.check.partition(self.engine.upstreams());
-        self.check.waits(self.now);
+        self.check.check_partition(self.engine.upstreams());
+        self.check.check_waits(self.now);
     }
 
-    fn attempt(&mut self, caller: caller::Handle, until: Time) {
+    fn start_attempt(&mut self, caller: caller::Handle, until: Time) {
         let service = Duration::from_millis(self.random.random_range(1..60));
         let early = Duration::from_millis(self.random.random_range(0..3));
         let report = match self.chance(self.profile.fault) {
@@ -219,7 +227,7 @@
             Report::TimedOut => (until, report),
             _ => ((self.now + early).min(until), report),
         };
-        self.ends.push((at, caller, report));
+        self.attempt_ends.push((at, caller, report));
     }
 
     fn arrive(&mut self) {
@@ -245,15 +253,15 @@
     }
 
     fn cancel(&mut self) {
-        let place = self.random.random_range(0..64);
-        if let Some(caller) = self.check.cancel(place) {
-            self.ends.retain(|(_, other, _)| *other != caller);
+        let index = self.random.random_range(0..64);
+        if let Some(caller) = self.check.cancel(index) {
+            self.attempt_ends.retain(|(_, other, _)| *other != caller);
             self.engine.cancel(self.now, caller);
             self.poll();
         }
     }
 
-    fn sign(&mut self) {
+    fn drain_upstream(&mut self) {
         let signs = [Sign::Response, Sign::Connection, Sign::Peer];
         let sign = signs[self.random.random_range(0..3)];
         let count = self.snapshot.upstreams.len();
@@ -264,7 +272,7 @@
         }
     }
 
-    fn hear(&mut self) {
+    fn receive_peer_report(&mut self) {
         if self.chance(60) {
             let pools: Vec<_> = self.snapshot.pools.iter().map(|pool| pool.key).collect();
             let demand = |pool| Demand {
@@ -281,19 +289,19 @@
                 last_report,
                 demands,
             });
-            self.peer_heard = Some(last_report);
+            self.peer_last_report = Some(last_report);
         }
     }
 
-    /// Removes or brings back a customer, a pool, or an upstream.
-    fn change(&mut self) {
+    /// Removes or restores a customer, a pool or an assignment, restarts a host, or changes a share.
+    fn change_configuration(&mut self) {
         let kind = self.random.random_range(0..5);
         let index = self.random.random_range(0..4);
-        let (full, _) = small::small();
+        let (full, _) = fixture::configuration();
         let subject = match kind {
-            0 => small::customer(index).0,
-            1 => Subject::Pool(plan::name(["alba", "brisa"][index % 2])),
-            _ => plan::assign(["h0", "h1", "h2", "h3"][index], "alba").0,
+            0 => fixture::customer(index).0,
+            1 => Subject::Pool(config::name(["alba", "brisa"][index % 2])),
+            _ => config::assign(["h0", "h1", "h2", "h3"][index], "alba").0,
         };
         if kind == 3 {
             self.hosts[index].incarnation += 1;
@@ -311,13 +319,13 @@
                 "share changed",
             ][kind],
         );
-        self.configure();
+        self.apply_configuration();
     }
 
-    /// Takes the share of one pool from a customer, or gives it back.
+    /// Removes a customer's share of one pool, or restores it.
     fn change_share(&mut self) {
-        let (subject, value) = small::customer(1);
-        let less = plan::contract(&[("brisa", 30)], (200, 20), Some(1), true);
+        let (subject, value) = fixture::customer(1);
+        let less = config::contract(&[("brisa", 30)], (200, 20), Some(1), true);
         let value = match self.values.get(&subject) {
             Some(present) if *present == value => less,
             _ => value,
@@ -325,14 +333,14 @@
         self.values.insert(subject, value);
     }
 
-    fn configure(&mut self) {
+    fn apply_configuration(&mut self) {
         let version = self.snapshot.version + 1;
         self.snapshot = self
             .catalog
             .snapshot(version, true, self.values.iter(), &self.hosts);
         let mut decisions = Vec::new();
         self.engine.apply(self.now, &self.snapshot, &mut decisions);
-        self.take(decisions);
+        self.handle_decisions(decisions);
         self.poll();
     }
 }
--- a/crates/dispatch/tests/flood.rs
+++ b/crates/dispatch/tests/flood.rs
@@ -1,9 +1,9 @@
-//! Floods against two entries of one zone with the partition between them, against the bounds of section 1.5.
+//! Floods of requests against two entries of one zone that divide the slots of the upstreams between them.
 
+#[path = "common/config.rs"]
+mod config;
 #[path = "common/pair.rs"]
 mod pair;
-#[path = "common/plan.rs"]
-mod plan;
 #[path = "common/tally.rs"]
 mod tally;
 
@@ -15,14 +15,14 @@
 use std::fmt::Write;
 use tally::Tally;
 
-/// Mean service time.
-const SERVICE: Duration = Duration::from_millis(200);
+/// Mean time that a request takes in a slot.
+const SERVICE_TIME: Duration = Duration::from_millis(200);
 const UPSTREAMS: usize = 10;
-const SLOTS: u32 = 8;
+const SLOTS_PER_UPSTREAM: u32 = 8;
 /// Requests a second that all slots serve.
-const CAPACITY: f64 = 400.0;
-/// Requests of a quarter of the capacity in the 12 s of a measurement.
-const SHARE: u64 = 1_200;
+const CAPACITY_PER_SECOND: f64 = 400.0;
+/// Requests that a quarter of the capacity serves in the 12 s of a measurement.
+const QUARTER_REQUESTS: u64 = 1_200;
 const SEED: u64 = 7;
 
 fn load(customer: usize, class: u8, entry: usize, rate: f64) -> Load {
@@ -32,7 +32,7 @@
         entry,
         per_second: rate,
         deadline: Duration::from_secs(2),
-        late: rate >= CAPACITY,
+        from_measurement: rate >= CAPACITY_PER_SECOND,
     }
 }
 
@@ -41,7 +41,7 @@
 }
 
 fn run_seed(seed: u64, shares: &[u32], loads: &[Load]) -> Pair {
-    let mut pair = Pair::new(seed, shares, UPSTREAMS, SLOTS, SERVICE);
+    let mut pair = Pair::new(seed, shares, UPSTREAMS, SLOTS_PER_UPSTREAM, SERVICE_TIME);
     pair.run(loads, Duration::from_secs(12));
     pair
 }
@@ -69,15 +69,15 @@
     text
 }
 
-/// Guards against an overnight flood at one entry that takes the slots of previews at either entry.
+/// Guards against an overnight flood at one entry that takes slots from urgent previews at either entry.
 #[test]
 fn overnight_flood_leaves_previews_their_deadlines() {
     let previews = [
-        load(0, 0, 0, 0.15 * CAPACITY),
-        load(0, 0, 1, 0.15 * CAPACITY),
+        load(0, 0, 0, 0.15 * CAPACITY_PER_SECOND),
+        load(0, 0, 1, 0.15 * CAPACITY_PER_SECOND),
     ];
     let quiet = run(&[100], &previews);
-    let flood = load(0, 1, 0, 10.0 * CAPACITY);
+    let flood = load(0, 1, 0, 10.0 * CAPACITY_PER_SECOND);
     let flooded = run(&[100], &[previews[0], previews[1], flood]);
     insta::assert_snapshot!(table(&flooded));
     check_previews(SEED, &quiet, &flooded);
@@ -102,34 +102,34 @@
         );
         let wait = after.wait();
         assert!(
-            wait <= before.wait() + SERVICE,
+            wait <= before.wait() + SERVICE_TIME,
             "seed {seed}: added wait at entry {entry}: {wait:?}"
         );
     }
 }
 
-/// Guards against a house that floods one entry and takes the contracted share of houses at the other one.
+/// Guards against a customer that floods one entry and takes the contracted share of customers at the other one.
 #[test]
-fn flooding_house_leaves_the_others_their_share() {
-    // Each other house asks for its whole share, a quarter of the capacity, through the other entry.
-    let houses = (1..4).map(|house| load(house, 0, 1, 0.25 * CAPACITY));
-    let mut loads: Vec<Load> = houses.collect();
-    loads.push(load(0, 0, 0, 10.0 * CAPACITY));
+fn flooding_customer_leaves_the_others_their_share() {
+    // Each other customer asks for its whole share, a quarter of the capacity, through the other entry.
+    let others = (1..4).map(|customer| load(customer, 0, 1, 0.25 * CAPACITY_PER_SECOND));
+    let mut loads: Vec<Load> = others.collect();
+    loads.push(load(0, 0, 0, 10.0 * CAPACITY_PER_SECOND));
     let flooded = run(&[25; 4], &loads);
     insta::assert_snapshot!(table(&flooded));
-    check_houses(SEED, &flooded);
+    check_shares(SEED, &flooded);
     for seed in 1..=3 {
-        check_houses(seed, &run_seed(seed, &[25; 4], &loads));
+        check_shares(seed, &run_seed(seed, &[25; 4], &loads));
     }
 }
 
-fn check_houses(seed: u64, flooded: &Pair) {
-    for house in 1..4 {
-        let tally = &flooded.tallies[&(house, 0, 1)];
-        let (sent, answered) = (tally.sent.min(SHARE), tally.answered);
+fn check_shares(seed: u64, flooded: &Pair) {
+    for customer in 1..4 {
+        let tally = &flooded.tallies[&(customer, 0, 1)];
+        let (sent, answered) = (tally.sent.min(QUARTER_REQUESTS), tally.answered);
         assert!(
             100 * answered >= 99 * sent,
-            "seed {seed}: house {house}: {answered} of {sent}"
+            "seed {seed}: customer {customer}: {answered} of {sent}"
         );
     }
 }
@@ -140,8 +140,8 @@
     let flooded = run(
         &[50, 50],
         &[
-            load(0, 0, 0, 10.0 * CAPACITY),
-            load(1, 0, 1, 5.0 * CAPACITY),
+            load(0, 0, 0, 10.0 * CAPACITY_PER_SECOND),
+            load(1, 0, 1, 5.0 * CAPACITY_PER_SECOND),
         ],
     );
     for tally in flooded.tallies.values() {
@@ -159,8 +159,8 @@
     let flooded = run(
         &[50, 50],
         &[
-            load(0, 0, 0, 10.0 * CAPACITY),
-            load(1, 0, 1, 0.1 * CAPACITY),
+            load(0, 0, 0, 10.0 * CAPACITY_PER_SECOND),
+            load(1, 0, 1, 0.1 * CAPACITY_PER_SECOND),
         ],
     );
     insta::assert_snapshot!(table(&flooded));
@@ -179,15 +179,15 @@
     assert!(whole >= 98, "seed {SEED}: of all slots {whole}");
 }
 
-/// Guards against urgent work of one house that waits behind a flood of bulk work, its own or another house's.
+/// Guards against urgent work that waits behind a flood of bulk work of the same or of another customer.
 #[test]
 fn urgent_work_starts_within_three_seconds() {
     let mut urgent = [load(0, 0, 0, 2.0), load(0, 0, 1, 2.0)];
     for load in &mut urgent {
         load.deadline = Duration::from_secs(10);
     }
-    let own = load(0, 1, 0, 10.0 * CAPACITY);
-    let other = load(1, 1, 1, 10.0 * CAPACITY);
+    let own = load(0, 1, 0, 10.0 * CAPACITY_PER_SECOND);
+    let other = load(1, 1, 1, 10.0 * CAPACITY_PER_SECOND);
     let flooded = run(&[50, 50], &[urgent[0], urgent[1], own, other]);
     insta::assert_snapshot!(table(&flooded));
     for entry in 0..2 {
@@ -201,12 +201,12 @@
     }
 }
 
-/// Guards against retries after an outage of all upstreams that add load beyond the contracts.
+/// Guards against retries that exceed the retry budget after an outage of all upstreams.
 #[test]
 fn retry_storm_stays_within_the_retry_budget() {
-    let mut pair = Pair::new(SEED, &[50, 50], UPSTREAMS, SLOTS, SERVICE);
-    pair.fail(Duration::from_secs(2), Duration::from_secs(4));
-    let loads = [0, 1].map(|customer| load(customer, 0, customer, 0.45 * CAPACITY));
+    let mut pair = Pair::new(SEED, &[50, 50], UPSTREAMS, SLOTS_PER_UPSTREAM, SERVICE_TIME);
+    pair.schedule_outage(Duration::from_secs(2), Duration::from_secs(4));
+    let loads = [0, 1].map(|customer| load(customer, 0, customer, 0.45 * CAPACITY_PER_SECOND));
     pair.run(&loads, Duration::from_secs(12));
     let mut text = table(&pair);
     for ((customer, entry), [first, retries]) in &pair.attempts {
@@ -215,30 +215,30 @@
             "customer {customer} entry {entry}: first {first} retries {retries}"
         )
         .unwrap();
-        // The contract allows 10% and a saving of 10; requests that were admitted but not started earn too.
+        // The budget is 10% of the admitted requests, whether they have started or not, and 10 saved retries.
         let earned = 10 + pair.admitted(*customer, *entry) / 10;
         assert!(*retries <= earned, "seed {SEED}: {retries} of {earned}");
     }
     insta::assert_snapshot!(text);
 }
 
-/// Guards against two flooding houses at different entries that take the share of others or of each other.
+/// Guards against two flooding customers at different entries that take the share of others or of each other.
 #[test]
-fn two_flooding_houses_leave_the_others_their_share() {
-    let quiet = [2, 3].map(|house| load(house, 0, house % 2, 0.25 * CAPACITY));
-    let floods = [0, 1].map(|house| load(house, 0, house, 10.0 * CAPACITY));
+fn two_flooding_customers_leave_the_others_their_share() {
+    let quiet = [2, 3].map(|customer| load(customer, 0, customer % 2, 0.25 * CAPACITY_PER_SECOND));
+    let floods = [0, 1].map(|customer| load(customer, 0, customer, 10.0 * CAPACITY_PER_SECOND));
     let flooded = run(&[25; 4], &[quiet[0], quiet[1], floods[0], floods[1]]);
     insta::assert_snapshot!(table(&flooded));
-    for house in 2..4 {
-        let tally = &flooded.tallies[&(house, 0, house % 2)];
-        let (sent, answered) = (tally.sent.min(SHARE), tally.answered);
+    for customer in 2..4 {
+        let tally = &flooded.tallies[&(customer, 0, customer % 2)];
+        let (sent, answered) = (tally.sent.min(QUARTER_REQUESTS), tally.answered);
         assert!(
             100 * answered >= 99 * sent,
-            "seed {SEED}: house {house}: {answered} of {sent}"
+            "seed {SEED}: customer {customer}: {answered} of {sent}"
         );
     }
-    // Jain's index of two houses: (a + b)^2 / 2 (a^2 + b^2).
-    let [a, b] = [0, 1].map(|house| flooded.tallies[&(house, 0, house)].answered);
+    // Jain's index of two customers: (a + b)^2 / 2 (a^2 + b^2).
+    let [a, b] = [0, 1].map(|customer| flooded.tallies[&(customer, 0, customer)].answered);
     let equal = 100 * (a + b) * (a + b) >= 99 * 2 * (a * a + b * b);
     assert!(equal, "seed {SEED}: {a} and {b}");
 }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -1,7 +1,7 @@
-//! Single decisions at the limits of contracts, zones and health.
+//! Single decisions at contract limits, between availability zones, and after failures of upstreams.
 
-#[path = "common/plan.rs"]
-mod plan;
+#[path = "common/config.rs"]
+mod config;
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::{
@@ -19,8 +19,8 @@
 use sassafrascrank_route::Report;
 use slotmap::SlotMap;
 
-/// One engine with the names of its configuration.
-struct Bench {
+/// One engine with the keys of its configuration.
+struct Fixture {
     now: Time,
     engine: Engine,
     snapshot: Snapshot,
@@ -29,35 +29,35 @@
 
 type Customers<'a> = [(&'a str, Value)];
 
-impl Bench {
+impl Fixture {
     fn new(customers: &Customers<'_>, hosts: &[(&str, &str, &str)], slots: u32) -> Self {
         let mut catalog = Catalog::new();
-        let home = catalog.availability_zone(&plan::name("near"));
-        let mut values = plan::Values::new();
+        let home = catalog.availability_zone(&config::name("near"));
+        let mut values = config::Values::new();
         for (customer, contract) in customers {
-            values.insert(Subject::Customer(plan::name(customer)), contract.clone());
+            values.insert(Subject::Customer(config::name(customer)), contract.clone());
         }
         let mut list = Vec::new();
         for (host, pool, zone) in hosts {
-            values.insert(Subject::Pool(plan::name(pool)), plan::pool(slots));
-            values.extend([plan::assign(host, pool)]);
-            list.push(plan::host(host, zone, 1));
+            values.insert(Subject::Pool(config::name(pool)), config::pool(slots));
+            values.extend([config::assign(host, pool)]);
+            list.push(config::host(host, zone, 1));
         }
-        let mut bench = Self {
+        let mut fixture = Self {
             now: Time::from_millis(1_000_000),
             engine: Engine::new(home, 1, Limit::default(), 1),
             snapshot: catalog.snapshot(1, true, values.iter(), &list),
             callers: SlotMap::with_key(),
         };
         let mut decisions = Vec::new();
-        bench
+        fixture
             .engine
-            .apply(bench.now, &bench.snapshot, &mut decisions);
-        bench.wait(Duration::from_secs(3));
-        bench
+            .apply(fixture.now, &fixture.snapshot, &mut decisions);
+        fixture.wait(Duration::from_secs(3));
+        fixture
     }
 
-    /// Lets parts and probes follow; the engine reports its demand like a real entry.
+    /// Advances the clock by `span`; the engine reports its demand and divides slots, as in a real entry.
     fn wait(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -73,7 +73,7 @@
             thread: 0,
             key: self.callers.insert(()),
         };
-        let pool = plan::name(pool);
+        let pool = config::name(pool);
         let found = self.snapshot.pools.iter().find(|entry| entry.name == pool);
         let arrival = Arrival {
             caller,
@@ -108,118 +108,120 @@
 #[test]
 fn end_at_the_concurrency_limit_starts_the_other_pools_request() {
     let shares = [("alba", 50), ("brisa", 50)];
-    let contract = plan::contract(&shares, (100, 100), Some(1), false);
+    let contract = config::contract(&shares, (100, 100), Some(1), false);
     let hosts = [("h0", "alba", "near"), ("h1", "brisa", "near")];
-    let mut bench = Bench::new(&[("casa", contract)], &hosts, 4);
-    let first = bench.arrive(0, "alba").unwrap();
-    assert_eq!(bench.poll(), [first]);
-    let second = bench.arrive(0, "brisa").unwrap();
-    assert_eq!(bench.poll(), []);
+    let mut fixture = Fixture::new(&[("casa", contract)], &hosts, 4);
+    let first = fixture.arrive(0, "alba").unwrap();
+    assert_eq!(fixture.poll(), [first]);
+    let second = fixture.arrive(0, "brisa").unwrap();
+    assert_eq!(fixture.poll(), []);
     let report = Report::Answered(Duration::from_millis(5));
-    bench.engine.finish(bench.now, first, report);
-    assert_eq!(bench.poll(), [second]);
+    fixture.engine.finish(fixture.now, first, report);
+    assert_eq!(fixture.poll(), [second]);
 }
 
-/// Guards against a pool whose only upstream is ejected and never gets its probe, because nothing is queued.
+/// Guards against an ejected sole upstream of a pool that never gets a probe because nothing is queued.
 #[test]
 fn sole_upstream_returns_after_its_ejection() {
-    let contract = plan::contract(&[("alba", 50)], (100, 100), None, false);
-    let mut bench = Bench::new(&[("casa", contract)], &[("h0", "alba", "near")], 4);
+    let contract = config::contract(&[("alba", 50)], (100, 100), None, false);
+    let mut fixture = Fixture::new(&[("casa", contract)], &[("h0", "alba", "near")], 4);
     for _ in 0..5 {
-        let caller = bench.arrive(0, "alba").unwrap();
-        assert_eq!(bench.poll(), [caller]);
-        bench.engine.finish(bench.now, caller, Report::Lost);
-        bench.poll();
+        let caller = fixture.arrive(0, "alba").unwrap();
+        assert_eq!(fixture.poll(), [caller]);
+        fixture.engine.finish(fixture.now, caller, Report::Lost);
+        fixture.poll();
     }
-    let refusal = bench.arrive(0, "alba").unwrap_err();
+    let refusal = fixture.arrive(0, "alba").unwrap_err();
     assert_eq!(refusal.reason, Reason::NoUpstream);
-    let wakeup = bench.engine.next_wakeup().unwrap();
-    assert_eq!(wakeup, bench.now + Duration::from_secs(1));
-    bench.now = wakeup;
-    bench.poll();
-    let probe = bench.arrive(0, "alba").unwrap();
-    assert_eq!(bench.poll(), [probe]);
+    let wakeup = fixture.engine.next_wakeup().unwrap();
+    assert_eq!(wakeup, fixture.now + Duration::from_secs(1));
+    fixture.now = wakeup;
+    fixture.poll();
+    let probe = fixture.arrive(0, "alba").unwrap();
+    assert_eq!(fixture.poll(), [probe]);
 }
 
-/// Guards against a queued request that is not sent as a probe when one is due, because nothing else happens.
+/// Guards against a queued request that is not sent as a probe because nothing but time triggers the probe.
 #[test]
 fn queued_request_becomes_the_probe() {
-    let value = plan::contract(&[("alba", 50)], (100, 100), None, false);
+    let value = config::contract(&[("alba", 50)], (100, 100), None, false);
     let Value::Contract(contract) = value else {
         panic!("not a contract");
     };
     let mut contract = contract.as_ref().clone();
     contract.classes[0].queue_timeout = Duration::from_secs(5);
     let customers = [("casa", Value::Contract(contract.into()))];
-    let mut bench = Bench::new(&customers, &[("h0", "alba", "near")], 5);
-    let running: Vec<_> = (0..5).map(|_| bench.arrive(0, "alba").unwrap()).collect();
-    assert_eq!(bench.poll(), running);
-    let queued = bench.arrive(0, "alba").unwrap();
+    let mut fixture = Fixture::new(&customers, &[("h0", "alba", "near")], 5);
+    let running: Vec<_> = (0..5).map(|_| fixture.arrive(0, "alba").unwrap()).collect();
+    assert_eq!(fixture.poll(), running);
+    let queued = fixture.arrive(0, "alba").unwrap();
     for caller in running {
-        bench.engine.finish(bench.now, caller, Report::Lost);
+        fixture.engine.finish(fixture.now, caller, Report::Lost);
     }
-    assert_eq!(bench.poll(), []);
-    bench.now = bench.engine.next_wakeup().unwrap();
-    assert_eq!(bench.poll(), [queued]);
+    assert_eq!(fixture.poll(), []);
+    fixture.now = fixture.engine.next_wakeup().unwrap();
+    assert_eq!(fixture.poll(), [queued]);
 }
 
-/// Guards against slots of other zones that change how the slots of the home zone are shared.
+/// Guards against the use of slots in other zones that changes the shares of the slots in the home zone.
 ///
-/// Of two customers with equal shares, one may use the other zone. Both are backlogged throughout.
+/// Two customers with equal shares have queued requests throughout; only one of them may use the other zone.
 #[test]
 fn spill_leaves_the_shares_of_the_home_zone_alone() {
     let rate = (100_000, 100_000);
-    let spilling = plan::contract(&[("alba", 50)], rate, None, true);
-    let staying = plan::contract(&[("alba", 50)], rate, None, false);
+    let spilling = config::contract(&[("alba", 50)], rate, None, true);
+    let staying = config::contract(&[("alba", 50)], rate, None, false);
     let hosts = [("h0", "alba", "near"), ("h1", "alba", "far")];
     let customers = [("casa", spilling), ("loma", staying)];
-    let mut bench = Bench::new(&customers, &hosts, 8);
+    let mut fixture = Fixture::new(&customers, &hosts, 8);
     let mut callers = [Vec::new(), Vec::new()];
-    let near = bench.snapshot.upstreams[0].key;
+    let near = fixture.snapshot.upstreams[0].key;
     let mut started = [0_u32; 2];
-    let mut abroad = 0_u32;
+    let mut far = 0_u32;
     let mut running = Vec::new();
     for _ in 0..100 {
         for _ in 0..16 {
             for (customer, callers) in callers.iter_mut().enumerate() {
-                callers.extend(bench.arrive(customer, "alba").ok());
+                callers.extend(fixture.arrive(customer, "alba").ok());
             }
         }
-        bench.wait(Duration::from_millis(100));
+        fixture.wait(Duration::from_millis(100));
         let report = Report::Answered(Duration::from_millis(100));
         for caller in core::mem::take(&mut running) {
-            bench.engine.finish(bench.now, caller, report);
+            fixture.engine.finish(fixture.now, caller, report);
         }
-        for (caller, upstream) in bench.forwards() {
+        for (caller, upstream) in fixture.forwards() {
             let owner = usize::from(callers[1].contains(&caller));
-            abroad += u32::from(upstream != near);
+            far += u32::from(upstream != near);
             started[owner] += u32::from(upstream == near);
             running.push(caller);
         }
     }
     let [spilling, staying] = started;
     insta::assert_snapshot!(format!(
-        "near: spilling {spilling}, staying {staying}; far: {abroad}"
+        "near: spilling {spilling}, staying {staying}; far: {far}"
     ));
-    // Half of the 8 home slots for 100 rounds, and no more than one round less.
+    // Each gets half of the 8 home slots in at least 99 of the 100 rounds.
     assert!(staying >= 4 * 99, "staying {staying}");
     assert!(spilling >= 4 * 99, "spilling {spilling}");
 }
 
-/// Guards against retries that pass the rate of the contract.
+/// Guards against retries that exceed the contracted rate.
 #[test]
 fn retry_above_the_rate_is_refused() {
-    let contract = plan::contract(&[("alba", 50)], (1, 1), None, false);
-    let mut bench = Bench::new(&[("casa", contract)], &[("h0", "alba", "near")], 4);
-    let caller = bench.arrive(0, "alba").unwrap();
-    assert_eq!(bench.poll(), [caller]);
-    bench.engine.finish(bench.now, caller, Report::Unreachable);
+    let contract = config::contract(&[("alba", 50)], (1, 1), None, false);
+    let mut fixture = Fixture::new(&[("casa", contract)], &[("h0", "alba", "near")], 4);
+    let caller = fixture.arrive(0, "alba").unwrap();
+    assert_eq!(fixture.poll(), [caller]);
+    fixture
+        .engine
+        .finish(fixture.now, caller, Report::Unreachable);
     let mut decisions = Vec::new();
-    bench.engine.poll(bench.now, &mut decisions);
+    fixture.engine.poll(fixture.now, &mut decisions);
     let refused = decisions.iter().any(|decision| match decision {
         Decision::Refuse { refusal, .. } => refusal.reason == Reason::ConnectFailed,
         Decision::Forward { .. } => false,
     });
     assert!(refused, "{decisions:?}");
-    assert_eq!(bench.engine.pending(), 0);
+    assert_eq!(fixture.engine.pending(), 0);
 }
--- a/crates/dispatch/tests/schedules.rs
+++ b/crates/dispatch/tests/schedules.rs
@@ -1,21 +1,22 @@
-//! Seeded fault schedules against one engine; the snapshots show how often each path was taken.
+//! Random schedules of faults against one engine; the snapshots show how often each path was taken.
 
 mod common;
 
-use common::world::{
+use common::simulation::{
     Profile,
-    World, //
+    Simulation, //
 };
 use std::collections::BTreeMap;
 
+/// Schedules of each test, one for each seed.
 const SEEDS: u64 = 2_500;
 
-fn play(first: u64, profile: Profile) -> String {
+fn run_schedules(first: u64, profile: Profile) -> String {
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     for seed in first..first + SEEDS {
-        let mut world = World::new(seed, profile);
-        world.run();
-        for (what, count) in world.check.counts {
+        let mut simulation = Simulation::new(seed, profile);
+        simulation.run();
+        for (what, count) in simulation.check.counts {
             *counts.entry(what).or_default() += count;
         }
     }
@@ -25,7 +26,7 @@
     lines.collect()
 }
 
-/// Guards against lost, doubled and untrue ends when upstreams fail in every way.
+/// Guards against requests that never end, end twice, or end with a false outcome when upstreams fail.
 #[test]
 fn upstream_faults_end_each_request_once() {
     let profile = Profile {
@@ -33,10 +34,10 @@
         cancel: 5,
         ..Profile::default()
     };
-    insta::assert_snapshot!(play(0, profile));
+    insta::assert_snapshot!(run_schedules(0, profile));
 }
 
-/// Guards against requests and slots that are forgotten when customers, pools and upstreams vanish under them.
+/// Guards against lost requests and leaked slots when their customer, pool or upstream is removed.
 #[test]
 fn configuration_changes_end_each_request_once() {
     let profile = Profile {
@@ -45,31 +46,31 @@
         change: 15,
         ..Profile::default()
     };
-    insta::assert_snapshot!(play(10_000, profile));
+    insta::assert_snapshot!(run_schedules(10_000, profile));
 }
 
-/// Guards against leaks when callers leave at every stage and the clock stands still.
+/// Guards against leaked requests and slots when callers disconnect at any stage, also without time passing.
 #[test]
 fn cancellations_leave_nothing_behind() {
     let profile = Profile {
         fault: 30,
         cancel: 60,
-        still: 50,
+        clock_stall: 50,
         change: 3,
         ..Profile::default()
     };
-    insta::assert_snapshot!(play(20_000, profile));
+    insta::assert_snapshot!(run_schedules(20_000, profile));
 }
 
-/// Guards against new work for draining upstreams, and against work that stops with them.
+/// Guards against new requests for draining upstreams, and against requests that don't end because of a drain.
 #[test]
 fn draining_upstreams_get_no_new_work() {
     let profile = Profile {
         fault: 15,
         cancel: 5,
         change: 5,
-        sign: 8,
-        still: 20,
+        drain_sign: 8,
+        clock_stall: 20,
     };
-    insta::assert_snapshot!(play(30_000, profile));
+    insta::assert_snapshot!(run_schedules(30_000, profile));
 }
