--- a/crates/queue/benches/decision.rs
+++ b/crates/queue/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Time of one decision (push, pop, finish) at different numbers of customers, beside a linear scan.
+//! Time of one decision (push, pop, finish) for several numbers of customers, compared with a linear scan.
 
 use divan::{
     Bencher,
@@ -68,7 +68,7 @@
     });
 }
 
-/// One FIFO and one virtual time for each customer; the smallest is found by a scan.
+/// Baseline with a FIFO and a virtual time for each customer; a scan finds the smallest virtual time.
 #[divan::bench(args = CUSTOMERS)]
 fn linear_scan(bencher: Bencher<'_, '_>, count: usize) {
     let mut flows = vec![(0_u64, VecDeque::with_capacity(DEPTH * 4)); count];
--- a/crates/queue/src/heap/heap.rs
+++ b/crates/queue/src/heap/heap.rs
@@ -9,39 +9,39 @@
 #[derive(Debug)]
 pub(crate) struct Heap<K: Key, P> {
     items: Vec<(P, K)>,
-    places: SecondaryMap<K, usize>,
+    positions: SecondaryMap<K, usize>,
 }
 
 impl<K: Key, P: Copy + Ord> Heap<K, P> {
-    /// Makes an empty heap with room for `capacity` items.
+    /// Creates an empty heap with room for `capacity` items.
     pub(crate) fn with_capacity(capacity: usize) -> Self {
         Self {
             items: Vec::with_capacity(capacity),
-            places: SecondaryMap::with_capacity(capacity),
+            positions: SecondaryMap::with_capacity(capacity),
         }
     }
 
     /// Adds an item or changes its priority.
     pub(crate) fn set(&mut self, key: K, priority: P) {
-        let place = match self.places.get(key) {
-            Some(&place) => place,
+        let position = match self.positions.get(key) {
+            Some(&position) => position,
             None => {
                 self.items.push((priority, key));
                 self.items.len() - 1
             }
         };
-        self.items[place].0 = priority;
-        self.settle(place);
+        self.items[position].0 = priority;
+        self.restore_order(position);
     }
 
-    /// Removes an item; tells whether it was there.
+    /// Removes an item; returns whether the heap held it.
     pub(crate) fn remove(&mut self, key: K) -> bool {
-        let Some(place) = self.places.remove(key) else {
+        let Some(position) = self.positions.remove(key) else {
             return false;
         };
-        self.items.swap_remove(place);
-        if place < self.items.len() {
-            self.settle(place);
+        self.items.swap_remove(position);
+        if position < self.items.len() {
+            self.restore_order(position);
         }
         true
     }
@@ -51,9 +51,9 @@
         self.items.first().copied()
     }
 
-    /// Tells whether the heap holds the key.
+    /// Returns whether the heap holds the key.
     pub(crate) fn contains(&self, key: K) -> bool {
-        self.places.contains_key(key)
+        self.positions.contains_key(key)
     }
 
     /// Returns the number of items.
@@ -63,31 +63,33 @@
 
     /// Returns the size of the allocated containers in bytes.
     pub(crate) fn capacity_bytes(&self) -> usize {
-        self.items.capacity() * size_of::<(P, K)>() + self.places.capacity() * size_of::<usize>()
+        self.items.capacity() * size_of::<(P, K)>() + self.positions.capacity() * size_of::<usize>()
     }
 
-    fn settle(&mut self, mut place: usize) {
-        while place > 0 && self.items[place].0 < self.items[(place - 1) / 2].0 {
-            place = self.exchange(place, (place - 1) / 2);
+    /// Moves the item at `position` up or down until the heap is in order.
+    fn restore_order(&mut self, mut position: usize) {
+        while position > 0 && self.items[position].0 < self.items[(position - 1) / 2].0 {
+            position = self.swap(position, (position - 1) / 2);
         }
-        while let Some(child) = self.smaller_child(place) {
-            place = self.exchange(place, child);
+        while let Some(child) = self.smaller_child(position) {
+            position = self.swap(position, child);
         }
-        self.places.insert(self.items[place].1, place);
+        self.positions.insert(self.items[position].1, position);
     }
 
-    /// Returns the smaller child of `place` if it precedes the item at `place`.
-    fn smaller_child(&self, place: usize) -> Option<usize> {
-        let left = 2 * place + 1;
+    /// Returns the smaller child of `position` if it precedes the item at `position`.
+    fn smaller_child(&self, position: usize) -> Option<usize> {
+        let left = 2 * position + 1;
         let right = left + 1;
         let last = self.items.len().min(right + 1);
         let child = (left..last).min_by_key(|&child| self.items[child].0)?;
-        (self.items[child].0 < self.items[place].0).then_some(child)
+        (self.items[child].0 < self.items[position].0).then_some(child)
     }
 
-    fn exchange(&mut self, from: usize, to: usize) -> usize {
+    /// Swaps two items and returns `to`; the recorded position of the item moved there is left to the caller.
+    fn swap(&mut self, from: usize, to: usize) -> usize {
         self.items.swap(from, to);
-        self.places.insert(self.items[from].1, from);
+        self.positions.insert(self.items[from].1, from);
         to
     }
 }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,4 +1,4 @@
-//! Hierarchical fair queue of one pool: customers by share, then urgency classes by share.
+//! Hierarchical fair queue of one pool: slots are shared between customers, then between the urgency classes of each.
 
 mod heap;
 mod queue;
--- a/crates/queue/src/queue/admission.rs
+++ b/crates/queue/src/queue/admission.rs
@@ -4,7 +4,7 @@
     Queue, Request,
     account::{
         Account,
-        excess, //
+        requests_per_weight, //
     },
     entry,
     entry::Entry,
@@ -15,17 +15,17 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Part of the estimated wait that is added as a margin: one eighth.
+/// Divisor of the estimated wait that gives the margin added to it.
 ///
-/// Without it, requests at the edge of their deadline are admitted and refused only when the deadline passes.
-const MARGIN: u32 = 8;
-/// Multiple of the estimated wait that is added while a class has not learned its costs.
+/// Without a margin, requests that would just miss their deadline are admitted, and refused only when it passes.
+const MARGIN_DIVISOR: u32 = 8;
+/// Multiple of the estimated wait that is added as a margin until the costs of a class are known.
 ///
-/// Requests that come at the start of a flood are then still answered in time if they take up to four times their
+/// With this margin, requests at the start of a flood are answered in time even if they take up to four times their
 /// declared cost.
-const UNLEARNED_MARGIN: u32 = 3;
-/// Shortest useful time before another try.
-const RETRY_MIN: Duration = Duration::from_millis(1);
+const UNLEARNED_MARGIN_FACTOR: u32 = 3;
+/// Shortest delay that a refused caller is told to wait before it tries again.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(1);
 
 impl Queue {
     /// Decides on a new request and returns the latest time at which it may start.
@@ -42,106 +42,110 @@
         if expiry <= now {
             return Err(unmet);
         }
-        let wait = self.wait_for(account, lane, request.cost, expiry.since(now));
+        let wait = self.estimate_admission_wait(account, lane, request.cost, expiry.since(now));
         let margin = if lane.has_learned() {
-            wait / MARGIN
+            wait / MARGIN_DIVISOR
         } else {
-            wait.saturating_mul(UNLEARNED_MARGIN)
+            wait.saturating_mul(UNLEARNED_MARGIN_FACTOR)
         };
         let start = now + wait + margin;
         if start >= expiry {
-            // After this time the same request would be admitted, if nothing came in between.
-            let later = start.since(expiry).max(RETRY_MIN);
-            self.strain(request, expiry.since(now));
+            // After this delay the same request would be admitted if no other request arrived in between.
+            let later = start.since(expiry).max(RETRY_AFTER_MIN);
+            self.record_refused_wait(request, expiry.since(now));
             return Err(unmet.with_retry_after(later));
         }
         let full = lane.count >= lane.class.limit;
-        if full && !self.shed_within(now, request) {
+        if full && !self.shed_in_class(now, request) {
             return Err(full_refusal(wait));
         }
-        if self.waiting >= self.capacity && !self.shed_any(now, request) {
+        if self.waiting >= self.capacity && !self.shed_in_queue(now, request) {
             return Err(full_refusal(wait));
         }
-        if self.dropped.len() >= self.capacity {
+        if self.unreported.len() >= self.capacity {
             return Err(full_refusal(wait));
         }
         Ok(expiry)
     }
 
-    /// Returns what the caller of a removed request is told.
+    /// Returns the refusal for the caller of a removed request.
     pub(super) fn refusal(&self, entry: &Entry) -> Refusal {
         let reason = entry.shed.unwrap_or(Reason::DeadlineUnmet);
         let account = self.accounts.get(entry.request.customer);
         let lane = account.and_then(|account| Some((account, account.lane(entry.request.class)?)));
         let wait = lane.map_or(Duration::ZERO, |(account, lane)| {
-            self.wait(account, lane, lane.work, micros(entry.request.cost))
+            self.estimate_wait(account, lane, lane.work, micros(entry.request.cost))
         });
-        Refusal::not_run(reason).with_retry_after(after(wait))
+        Refusal::not_run(reason).with_retry_after(retry_after(wait))
     }
 
-    /// Estimates the wait of a new request that accepts to wait for `patience`.
-    fn wait_for(
+    /// Estimates the wait of a new request that may wait for at most `max_wait`.
+    ///
+    /// If the class has refused a request that would have waited at least as long, the estimate assumes that the class
+    /// gets only its contracted share; see [`Lane::longest_refused_wait`].
+    fn estimate_admission_wait(
         &self,
         account: &Account,
         lane: &Lane,
         cost: Duration,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Duration {
-        let wait = self.wait(account, lane, lane.work, micros(cost));
-        if patience > lane.strained || wait.is_zero() {
+        let wait = self.estimate_wait(account, lane, lane.work, micros(cost));
+        if max_wait > lane.longest_refused_wait || wait.is_zero() {
             return wait;
         }
-        let whole = self.contracted.saturating_mul(account.contracted);
-        wait.max(self.wait_at(account, lane, lane.work, micros(cost), whole))
+        let total_weight = self.total_weight.saturating_mul(account.total_weight);
+        wait.max(self.estimate_wait_at_weight(account, lane, lane.work, micros(cost), total_weight))
     }
 
-    /// Notes that the class of `request` is in overload for requests that accept to wait for `patience`.
-    fn strain(&mut self, request: &Request, patience: Duration) {
+    /// Records that the class of `request` has refused a request that would have waited for `max_wait`.
+    fn record_refused_wait(&mut self, request: &Request, max_wait: Duration) {
         let account = self.accounts.get_mut(request.customer);
         let lane = account.and_then(|account| account.lane_mut(request.class));
         if let Some(lane) = lane.filter(|lane| lane.count > 0) {
-            lane.strained = lane.strained.max(patience);
+            lane.longest_refused_wait = lane.longest_refused_wait.max(max_wait);
         }
     }
 
-    /// Estimates the time until a request starts that has `work` microseconds of its class in front of it.
+    /// Estimates the time until a request of `cost` starts that has `work` of its class in front of it, both in
+    /// microseconds.
     ///
-    /// Its class counts on its share among the customers and classes that wait now.
-    fn wait(&self, account: &Account, lane: &Lane, work: u64, cost: u64) -> Duration {
+    /// The class is assumed to get its share among the customers and classes that have waiting requests now.
+    fn estimate_wait(&self, account: &Account, lane: &Lane, work: u64, cost: u64) -> Duration {
         let slots = u128::from(self.slots.max(1));
         let busy = self.running.len() >= usize::try_from(slots).unwrap_or(usize::MAX);
         if !busy && self.waiting == 0 {
             return Duration::ZERO;
         }
-        let pool = self.weight + idle(account.count, account.flow.weight);
-        let classes = account.weight + idle(lane.count, lane.flow.weight);
-        self.wait_at(account, lane, work, cost, pool.saturating_mul(classes))
+        let pool = self.active_weight + weight_if_idle(account.count, account.flow.weight);
+        let classes = account.active_weight + weight_if_idle(lane.count, lane.flow.weight);
+        self.estimate_wait_at_weight(account, lane, work, cost, pool.saturating_mul(classes))
     }
 
-    /// Estimates the time until a request starts if its class gets its weight of the `total` weight.
-    fn wait_at(
+    /// Estimates the time until a request starts if its class gets its weight out of `total_weight`.
+    fn estimate_wait_at_weight(
         &self,
         account: &Account,
         lane: &Lane,
         work: u64,
         cost: u64,
-        total: u128,
+        total_weight: u128,
     ) -> Duration {
         let slots = u128::from(self.slots.max(1));
-        // The next slot becomes free after about the time that one request takes of all slots.
-        let next = u128::from(lane.corrected(cost)) / slots;
+        // If all slots are busy, one becomes free after about the cost of a request divided by the number of slots.
+        let next_slot = u128::from(lane.corrected_cost(cost)) / slots;
         let work = match work {
             0 => 0,
-            work => u128::from(lane.corrected(work)),
+            work => u128::from(lane.corrected_cost(work)),
         };
-        let whole = work.saturating_mul(total);
-        let part = slots * account.flow.weight * lane.flow.weight;
-        let micros = u64::try_from(whole / part + next).unwrap_or(u64::MAX);
+        let weighted_work = work.saturating_mul(total_weight);
+        let weighted_slots = slots * account.flow.weight * lane.flow.weight;
+        let micros = u64::try_from(weighted_work / weighted_slots + next_slot).unwrap_or(u64::MAX);
         Duration::from_micros(micros)
     }
 
     /// Makes room in the class of `request` by shedding a request that can't be answered in time.
-    fn shed_within(&mut self, now: Time, request: &Request) -> bool {
+    fn shed_in_class(&mut self, now: Time, request: &Request) -> bool {
         let account = self.accounts.get(request.customer);
         let lane = account.and_then(|account| account.lane(request.class));
         let last = lane.filter(|lane| lane.class.limit > 0);
@@ -150,7 +154,7 @@
         let found = [first, last].into_iter().flatten().find(|&key| {
             let same = |r: &Request| r.customer == request.customer && r.class == request.class;
             let entry = self.entries.get(key);
-            entry.is_some_and(|entry| same(&entry.request) && self.doomed(now, entry))
+            entry.is_some_and(|entry| same(&entry.request) && self.misses_deadline(now, entry))
         });
         let Some(key) = found else {
             return false;
@@ -160,18 +164,18 @@
     }
 
     /// Makes room in the queue by shedding a request that can't be answered in time, or else the newest request of
-    /// the class that has the most requests for its share.
-    fn shed_any(&mut self, now: Time, request: &Request) -> bool {
+    /// the class that has the most requests per weight.
+    fn shed_in_queue(&mut self, now: Time, request: &Request) -> bool {
         let first = self.deadlines.first().map(|(_, key)| key);
-        let doomed = first.filter(|&key| {
+        let late = first.filter(|&key| {
             let entry = self.entries.get(key);
-            entry.is_some_and(|entry| self.doomed(now, entry))
+            entry.is_some_and(|entry| self.misses_deadline(now, entry))
         });
-        if let Some(key) = doomed {
+        if let Some(key) = late {
             self.shed(key, Reason::DeadlineUnmet);
             return true;
         }
-        let Some(key) = self.displaced(request) else {
+        let Some(key) = self.displaced_by(request) else {
             return false;
         };
         self.shed(key, Reason::QueueFull);
@@ -179,25 +183,29 @@
     }
 
     /// Returns the request that gives way to `request` in a full queue.
-    fn displaced(&self, request: &Request) -> Option<entry::Key> {
+    fn displaced_by(&self, request: &Request) -> Option<entry::Key> {
         let (_, customer) = self.longest.first()?;
         let longest = self.accounts.get(customer)?;
         if customer != request.customer {
             let own = self.accounts.get(request.customer)?;
-            let after = excess(own.count + 1, own.flow.weight);
-            let more = excess(longest.count, longest.flow.weight) > after;
-            return if more { newest(longest) } else { None };
+            let after = requests_per_weight(own.count + 1, own.flow.weight);
+            let more = requests_per_weight(longest.count, longest.flow.weight) > after;
+            return if more {
+                newest_of_longest_class(longest)
+            } else {
+                None
+            };
         }
-        let class = longest.longest()?;
+        let class = longest.longest_class()?;
         let own = longest.lane(request.class)?;
         let other = longest.lane(class)?;
-        let after = excess(own.count + 1, own.flow.weight);
-        let more = excess(other.count, other.flow.weight) > after;
+        let after = requests_per_weight(own.count + 1, own.flow.weight);
+        let more = requests_per_weight(other.count, other.flow.weight) > after;
         if more { other.last } else { None }
     }
 
-    /// Tells whether a waiting request can't start in time at its class's present share.
-    fn doomed(&self, now: Time, entry: &Entry) -> bool {
+    /// Returns whether a waiting request can't start in time at the current share of its class.
+    fn misses_deadline(&self, now: Time, entry: &Entry) -> bool {
         let Some(account) = self.accounts.get(entry.request.customer) else {
             return false;
         };
@@ -208,25 +216,25 @@
             return false;
         }
         let work = lane.work_before(&self.entries, entry);
-        now + self.wait(account, lane, work, micros(entry.request.cost)) >= entry.expiry
+        now + self.estimate_wait(account, lane, work, micros(entry.request.cost)) >= entry.expiry
     }
 }
 
-/// Returns the newest request of the class with the most requests for its share.
-fn newest(account: &Account) -> Option<entry::Key> {
-    account.lane(account.longest()?)?.last
+/// Returns the newest request of the class with the most waiting requests per weight.
+fn newest_of_longest_class(account: &Account) -> Option<entry::Key> {
+    account.lane(account.longest_class()?)?.last
 }
 
-/// Returns the weight if nothing waits, since the sum of waiting weights lacks it then.
-fn idle(count: u32, weight: u128) -> u128 {
+/// Returns the weight if no request is waiting, since the sum of active weights doesn't include it then.
+fn weight_if_idle(count: u32, weight: u128) -> u128 {
     if count == 0 { weight } else { 0 }
 }
 
 fn full_refusal(wait: Duration) -> Refusal {
-    Refusal::not_run(Reason::QueueFull).with_retry_after(after(wait))
+    Refusal::not_run(Reason::QueueFull).with_retry_after(retry_after(wait))
 }
 
-/// Returns when about half of the requests in front have started.
-fn after(wait: Duration) -> Duration {
-    (wait / 2).max(RETRY_MIN)
+/// Returns the delay after which about half of the requests in front have started.
+fn retry_after(wait: Duration) -> Duration {
+    (wait / 2).max(RETRY_AFTER_MIN)
 }
--- a/crates/queue/src/queue/customers.rs
+++ b/crates/queue/src/queue/customers.rs
@@ -1,4 +1,4 @@
-//! Customers and their contracts.
+//! Customers and their shares.
 
 use super::{
     Class,
@@ -11,7 +11,7 @@
     /// Sets the share of a customer in percent of the pool and the limits of its classes.
     ///
     /// Classes beyond [`CLASS_LIMIT`](sassafrascrank_base::key::class::CLASS_LIMIT) are ignored. Waiting requests
-    /// stay, also those of a class that is left out.
+    /// stay in the queue, even those of a class that is no longer listed.
     pub fn set_customer(
         &mut self,
         _now: Time,
@@ -22,7 +22,7 @@
         let epoch = self.next_sequence();
         if !self.accounts.contains_key(customer) {
             let account = Account::new(share, self.clock, epoch);
-            self.contracted += account.flow.weight;
+            self.total_weight += account.flow.weight;
             self.accounts.insert(customer, account);
         }
         let Some(account) = self.accounts.get_mut(customer) else {
@@ -30,22 +30,22 @@
         };
         let before = account.flow.weight;
         account.flow.set_share(share, self.clock, epoch);
-        account.abroad.set_share(share, self.abroad_clock, epoch);
+        account.spill_flow.set_share(share, self.spill_clock, epoch);
         account.set_classes(classes, epoch);
         let after = account.flow.weight;
-        self.contracted = self.contracted - before + after;
+        self.total_weight = self.total_weight - before + after;
         if account.count > 0 {
-            self.weight = self.weight - before + after;
+            self.active_weight = self.active_weight - before + after;
         }
         self.unpark(customer);
-        self.reorder(customer);
+        self.update_heaps(customer);
     }
 
-    /// Sets whether a customer may use slots of other availability zones; at first it may not.
+    /// Sets whether a customer may use slots of other availability zones; a new customer may not.
     pub fn set_spill(&mut self, customer: customer::Key, spill: bool) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.spill = spill;
-            self.reorder(customer);
+            self.update_heaps(customer);
         }
     }
 
@@ -55,10 +55,10 @@
     pub fn remove_customer(&mut self, customer: customer::Key, removed: &mut Vec<ticket::Key>) {
         while let Some(key) = self.head(customer) {
             self.detach(key);
-            removed.extend(self.forget(key).map(|entry| entry.request.ticket));
+            removed.extend(self.remove_entry(key).map(|entry| entry.request.ticket));
         }
         let account = self.accounts.remove(customer);
-        self.contracted -= account.map_or(0, |account| account.flow.weight);
-        self.reorder(customer);
+        self.total_weight -= account.map_or(0, |account| account.flow.weight);
+        self.update_heaps(customer);
     }
 }
--- a/crates/queue/src/queue/entry.rs
+++ b/crates/queue/src/queue/entry.rs
@@ -8,29 +8,29 @@
     pub(crate) struct Key;
 }
 
-/// A held request with its links to its neighbours in its class.
+/// A held request in the linked list of its class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
     /// The request.
     pub(crate) request: Request,
     /// Latest time at which it may start.
     pub(crate) expiry: Time,
-    /// Work that had entered the class before it, in microseconds of expected cost.
-    pub(crate) mark: u64,
-    /// Earlier neighbour.
-    pub(crate) before: Option<Key>,
-    /// Later neighbour.
-    pub(crate) after: Option<Key>,
-    /// Why it has left its class, if it only waits for `expire` to report it.
+    /// Sum of the expected costs of all requests that entered the class before it, in microseconds; it wraps around.
+    pub(crate) work_entered_before: u64,
+    /// Previous request of its class.
+    pub(crate) previous: Option<Key>,
+    /// Next request of its class.
+    pub(crate) next: Option<Key>,
+    /// Reason for which it was removed from its class, if `expire` has yet to report it.
     pub(crate) shed: Option<Reason>,
 }
 
-/// What a granted request was charged.
+/// Charge for a granted request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Charge {
-    /// Who was charged.
+    /// Customer that was charged.
     pub(crate) customer: customer::Key,
-    /// The class within the customer.
+    /// Urgency class that was charged.
     pub(crate) class: class::Index,
     /// Whether the slot lies outside of the home availability zone.
     pub(crate) spill: bool,
@@ -38,8 +38,8 @@
     pub(crate) expected: u64,
     /// Cost that was charged, in microseconds.
     pub(crate) charged: u64,
-    /// Epoch of the customer's flow at that time.
+    /// Epoch of the customer's flow at the time of the charge.
     pub(crate) account_epoch: u64,
-    /// Epoch of the class's flow at that time.
+    /// Epoch of the class's flow at the time of the charge.
     pub(crate) lane_epoch: u64,
 }
--- a/crates/queue/src/queue/item.rs
+++ b/crates/queue/src/queue/item.rs
@@ -1,4 +1,4 @@
-//! What goes into a queue and what comes out.
+//! Requests passed to a queue, and the grants that it returns.
 
 use sassafrascrank_base::prelude::*;
 
@@ -7,9 +7,9 @@
 pub struct Class {
     /// Share of the customer's slots in percent.
     pub share: u32,
-    /// Longest time in the queue.
+    /// Maximum time in the queue.
     pub timeout: Duration,
-    /// Most requests in the queue.
+    /// Maximum number of requests in the queue.
     pub limit: u32,
 }
 
@@ -18,11 +18,11 @@
 pub struct Request {
     /// Identifies the request.
     pub ticket: ticket::Key,
-    /// Who sent it.
+    /// Customer that sent it.
     pub customer: customer::Key,
-    /// How urgent it is.
+    /// Urgency class.
     pub class: class::Index,
-    /// When its caller gives up.
+    /// Time at which its caller stops waiting.
     pub deadline: Time,
     /// Expected time in a slot.
     pub cost: Duration,
@@ -33,9 +33,9 @@
 pub struct Grant {
     /// Identifies the request.
     pub ticket: ticket::Key,
-    /// Who sent it.
+    /// Customer that sent it.
     pub customer: customer::Key,
-    /// How urgent it is.
+    /// Urgency class.
     pub class: class::Index,
     /// Expected time in a slot, charged when the request got the slot.
     pub cost: Duration,
--- a/crates/queue/src/queue/lane.rs
+++ b/crates/queue/src/queue/lane.rs
@@ -11,14 +11,14 @@
 use sassafrascrank_base::prelude::*;
 use slotmap::SlotMap;
 
-/// Requests over which the ratio of actual to expected cost is averaged.
+/// Number of requests over which the ratio of actual to expected cost is averaged.
 ///
-/// The error of the ratio stays near a tenth if service times differ by up to ten times; with 16 requests it
-/// exceeded the margin of admission, so that admitted requests missed their deadline.
-const WINDOW: u64 = 64;
-/// Finished requests after which the ratio counts as learned.
-const LEARNED: u64 = 16;
-/// Largest correction of an expected cost in either direction; it bounds the effect of failing hosts.
+/// The error of the ratio stays near a tenth if service times differ by up to ten times. With 16 requests, it exceeded
+/// the margin of admission, and admitted requests missed their deadline.
+const RATIO_WINDOW: u64 = 64;
+/// Finished requests after which the ratio is accurate enough for the small admission margin.
+const LEARNED_SAMPLES: u64 = 16;
+/// Largest factor by which an expected cost is raised or lowered; it bounds the effect of failing hosts.
 const RATIO_LIMIT: u64 = 64;
 
 /// Requests of one class in order of arrival, linked through the arena.
@@ -26,7 +26,7 @@
 pub(crate) struct Lane {
     /// Limits.
     pub(crate) class: Class,
-    /// Position among the customer's classes.
+    /// Flow among the classes of the customer.
     pub(crate) flow: Flow,
     /// Number of requests.
     pub(crate) count: u32,
@@ -36,20 +36,24 @@
     pub(crate) first: Option<entry::Key>,
     /// Newest request.
     pub(crate) last: Option<entry::Key>,
-    /// Longest wait refused in the present busy period, since the lane was last empty.
+    /// Longest wait that a refused request would have accepted since the lane was last empty.
     ///
-    /// Requests that accept no longer wait count on the contracted share only: a class that is in overload is
-    /// served no more with a long queue than with a short one, but loses a long one when others come back.
-    pub(crate) strained: Duration,
-    entered: u64,
-    expected: u64,
-    actual: u64,
+    /// Requests that accept no longer wait are admitted only if the contracted share serves them in time: a class in
+    /// overload is served no faster with a long queue than with a short one, but a long queue misses its deadlines
+    /// when other customers or classes become active again.
+    pub(crate) longest_refused_wait: Duration,
+    /// Sum of the expected costs of all requests added so far, in microseconds; it wraps around.
+    work_entered: u64,
+    /// Decaying sum of expected costs in microseconds.
+    expected_sum: u64,
+    /// Decaying sum of actual costs in microseconds.
+    actual_sum: u64,
     /// Number of finished requests, up to `WINDOW`.
     samples: u64,
 }
 
 impl Lane {
-    /// Makes an empty lane.
+    /// Creates an empty lane.
     pub(crate) fn new(class: Class, epoch: u64) -> Self {
         Self {
             class,
@@ -58,10 +62,10 @@
             work: 0,
             first: None,
             last: None,
-            strained: Duration::ZERO,
-            entered: 0,
-            expected: 0,
-            actual: 0,
+            longest_refused_wait: Duration::ZERO,
+            work_entered: 0,
+            expected_sum: 0,
+            actual_sum: 0,
             samples: 0,
         }
     }
@@ -82,55 +86,61 @@
         let key = entries.insert(Entry {
             request,
             expiry,
-            mark: self.entered,
-            before: self.last,
-            after: None,
+            work_entered_before: self.work_entered,
+            previous: self.last,
+            next: None,
             shed: None,
         });
         match self.last.and_then(|last| entries.get_mut(last)) {
-            Some(last) => last.after = Some(key),
+            Some(last) => last.next = Some(key),
             None => self.first = Some(key),
         }
         self.last = Some(key);
         self.count += 1;
         let cost = micros(request.cost);
         self.work = self.work.saturating_add(cost);
-        self.entered = self.entered.wrapping_add(cost);
+        self.work_entered = self.work_entered.wrapping_add(cost);
         key
     }
 
-    /// Takes a request out of the order; it stays in the arena.
+    /// Removes a request from the linked list; it stays in the arena.
     pub(crate) fn unlink(&mut self, entries: &mut SlotMap<entry::Key, Entry>, entry: &Entry) {
-        match entry.before.and_then(|before| entries.get_mut(before)) {
-            Some(before) => before.after = entry.after,
-            None => self.first = entry.after,
+        match entry
+            .previous
+            .and_then(|previous| entries.get_mut(previous))
+        {
+            Some(previous) => previous.next = entry.next,
+            None => self.first = entry.next,
         }
-        match entry.after.and_then(|after| entries.get_mut(after)) {
-            Some(after) => after.before = entry.before,
-            None => self.last = entry.before,
+        match entry.next.and_then(|next| entries.get_mut(next)) {
+            Some(next) => next.previous = entry.previous,
+            None => self.last = entry.previous,
         }
         self.count -= 1;
         if self.count == 0 {
-            self.strained = Duration::ZERO;
+            self.longest_refused_wait = Duration::ZERO;
         }
         self.work = self.work.saturating_sub(micros(entry.request.cost));
     }
 
     /// Returns the expected cost of the requests before `entry`, in microseconds.
     ///
-    /// Requests that left from between count until the front passes them, so it is an upper bound.
+    /// The result is an upper bound: requests that were removed before `entry` count until the front has passed them.
     pub(crate) fn work_before(&self, entries: &SlotMap<entry::Key, Entry>, entry: &Entry) -> u64 {
         let front = self.first.and_then(|first| entries.get(first));
-        let passed = front.map_or(entry.mark, |front| front.mark);
-        entry.mark.wrapping_sub(passed).min(self.work)
+        let passed = front.map_or(entry.work_entered_before, |front| front.work_entered_before);
+        entry
+            .work_entered_before
+            .wrapping_sub(passed)
+            .min(self.work)
     }
 
-    /// Returns `cost` corrected by the ratio of actual to expected costs seen so far, at least 1 µs.
-    pub(crate) fn corrected(&self, cost: u64) -> u64 {
-        if self.expected == 0 {
+    /// Returns `cost` times the ratio of actual to expected costs so far, in microseconds and at least 1.
+    pub(crate) fn corrected_cost(&self, cost: u64) -> u64 {
+        if self.expected_sum == 0 {
             return cost.max(1);
         }
-        let exact = u128::from(cost) * u128::from(self.actual) / u128::from(self.expected);
+        let exact = u128::from(cost) * u128::from(self.actual_sum) / u128::from(self.expected_sum);
         let most = cost.saturating_mul(RATIO_LIMIT);
         let least = (cost / RATIO_LIMIT).max(1);
         u64::try_from(exact)
@@ -139,28 +149,29 @@
             .max(least)
     }
 
-    /// Tells whether enough requests have finished to correct expected costs.
+    /// Returns whether enough requests have finished for an accurate ratio of actual to expected costs.
     pub(crate) fn has_learned(&self) -> bool {
-        self.samples >= LEARNED
+        self.samples >= LEARNED_SAMPLES
     }
 
-    /// Learns from a request that has left its slot.
+    /// Updates the ratio of actual to expected costs, in microseconds, with a request that has left its slot.
     ///
-    /// Charges that are wrong by a constant factor would distort the shares until the requests finish.
-    pub(crate) fn learn(&mut self, expected: u64, actual: u64) {
-        if self.expected == 0 {
-            // The declared cost counts as one observation, which damps the first ratios.
-            self.expected = expected.max(1);
-            self.actual = self.expected;
+    /// Without the ratio, expected costs that are wrong by a constant factor distort the shares until the requests
+    /// finish.
+    pub(crate) fn record_cost(&mut self, expected: u64, actual: u64) {
+        if self.expected_sum == 0 {
+            // The first declared cost counts as one sample with a ratio of 1, which damps the first ratios.
+            self.expected_sum = expected.max(1);
+            self.actual_sum = self.expected_sum;
         }
         self.samples += 1;
-        if self.samples > WINDOW {
-            self.samples = WINDOW;
-            self.expected -= self.expected / WINDOW;
-            self.actual -= self.actual / WINDOW;
+        if self.samples > RATIO_WINDOW {
+            self.samples = RATIO_WINDOW;
+            self.expected_sum -= self.expected_sum / RATIO_WINDOW;
+            self.actual_sum -= self.actual_sum / RATIO_WINDOW;
         }
-        self.expected = self.expected.saturating_add(expected.max(1));
-        self.actual = self.actual.saturating_add(actual);
+        self.expected_sum = self.expected_sum.saturating_add(expected.max(1));
+        self.actual_sum = self.actual_sum.saturating_add(actual);
     }
 }
 
--- a/crates/queue/src/queue/mod.rs
+++ b/crates/queue/src/queue/mod.rs
@@ -1,4 +1,4 @@
-//! The queue and its items.
+//! The queue, its requests, and the shares of customers and classes.
 
 mod account;
 mod admission;
@@ -8,7 +8,7 @@
 mod item;
 mod lane;
 mod queue;
-mod turn;
+mod selection;
 
 pub use item::{
     Class,
--- a/crates/queue/src/queue/turn.rs
+++ b/crates/queue/src/queue/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of the request that starts next.
+//! Selection of the request that starts next.
 
 use super::{
     Grant,
@@ -9,25 +9,26 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Customers at their limit that one `pop` asks again, so that a limit raised without notice is seen soon.
+/// Parked customers that one `pop` checks again, so that a limit that was raised without `unpark` is noticed soon.
 const RECHECKS: usize = 2;
-/// Customers at their limit that one `pop` asks again if nothing else waits; it bounds the cost of a `pop`.
+/// Parked customers that one `pop` checks again if no other customer has a request; it bounds the cost of a `pop`.
 const IDLE_RECHECKS: usize = 64;
 
 impl Queue {
     /// Takes the request that is to start next, among customers for which `eligible` holds.
     ///
-    /// A customer for which it does not hold is passed over and asked again after `finish`, `unpark` or
-    /// `set_customer` for it. Without such a call, every `pop` asks two such customers again in turn, and up to 64
-    /// if no other customer has a request.
+    /// A customer for which it does not hold is parked: it is passed over until `finish`, `unpark` or `set_customer`
+    /// is called for it. Without such a call, every `pop` checks two parked customers again in turn, and up to 64 if
+    /// no other customer has a request.
     pub fn pop(&mut self, now: Time, eligible: impl Fn(customer::Key) -> bool) -> Option<Grant> {
         self.pop_from(now, false, &eligible)
     }
 
     /// Takes the request that is to start next in a slot of another availability zone.
     ///
-    /// Only customers with [`Queue::set_spill`] are considered. Such slots have start tags of their own, so their use
-    /// neither costs a customer its share of the home zone nor advances the clock that the other customers follow.
+    /// Only customers that [`Queue::set_spill`] allows are considered. Such slots have their own start tags and virtual
+    /// time, so their use neither costs a customer its share of the home zone nor advances the virtual time of the
+    /// home zone.
     pub fn pop_spill(
         &mut self,
         now: Time,
@@ -45,11 +46,15 @@
         for _ in 0..RECHECKS {
             self.recheck(eligible);
         }
-        let mut rest = IDLE_RECHECKS.min(self.parked.len());
+        let mut remaining = IDLE_RECHECKS.min(self.parked.len());
         loop {
-            let order = if spill { &self.abroad } else { &self.ready };
+            let order = if spill {
+                &self.spill_ready
+            } else {
+                &self.ready
+            };
             let Some((_, customer)) = order.first() else {
-                rest = rest.checked_sub(1)?;
+                remaining = remaining.checked_sub(1)?;
                 self.recheck(eligible);
                 continue;
             };
@@ -73,9 +78,13 @@
         let Request { ticket, class, .. } = entry.request;
         let account = self.accounts.get_mut(customer)?;
         let lane = account.lane(class)?;
-        let flow = if spill { account.abroad } else { account.flow };
+        let flow = if spill {
+            account.spill_flow
+        } else {
+            account.flow
+        };
         let expected = micros(entry.request.cost);
-        let charged = lane.corrected(expected);
+        let charged = lane.corrected_cost(expected);
         let charge = Charge {
             customer,
             class,
@@ -86,13 +95,13 @@
             lane_epoch: lane.flow.epoch,
         };
         let clock = match spill {
-            true => &mut self.abroad_clock,
+            true => &mut self.spill_clock,
             false => &mut self.clock,
         };
         *clock = (*clock).max(flow.start);
         account.charge(class, charged, spill);
         self.detach(key);
-        self.forget(key);
+        self.remove_entry(key);
         self.running.insert(ticket, charge);
         Some(Grant {
             ticket,
@@ -104,7 +113,7 @@
 
     fn park(&mut self, customer: customer::Key) {
         self.ready.remove(customer);
-        self.abroad.remove(customer);
+        self.spill_ready.remove(customer);
         let order = self.next_sequence();
         self.parked.set(customer, order);
     }
--- a/crates/queue/tests/common/baseline.rs
+++ b/crates/queue/tests/common/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: one FIFO, strict priority by class, static partition.
+//! Baseline queueing disciplines: one FIFO, strict priority by class, and a static partition.
 
 use super::{
     Discipline,
@@ -10,13 +10,15 @@
 use sassafrascrank_base::prelude::*;
 use std::collections::VecDeque;
 
-/// FIFO lanes, served in their order; each may hold a part of the slots at most.
+/// FIFO queues in order of priority, each with a maximum number of slots.
 pub(crate) struct Baseline {
+    /// Job and latest start of each waiting request.
     lanes: Vec<VecDeque<(usize, Time)>>,
     lane_of: fn(&Job) -> usize,
     limits: Vec<usize>,
     running: Vec<usize>,
-    started: Vec<usize>,
+    /// Lane of each job.
+    lane_by_job: Vec<usize>,
     expired: Vec<usize>,
 }
 
@@ -29,7 +31,7 @@
         Self::new(|job| usize::from(job.class), vec![usize::MAX; 3])
     }
 
-    /// Gives each stream the slots of its share for itself.
+    /// Creates a partition in which each stream has the slots of its share for itself.
     pub(crate) fn partition(slots: usize, streams: &[Stream]) -> Self {
         let whole: f64 = streams.iter().map(|stream| stream.share).sum();
         let part = |stream: &Stream| (slots as f64 * stream.share / whole) as usize;
@@ -42,7 +44,7 @@
             lane_of,
             running: vec![0; limits.len()],
             limits,
-            started: Vec::new(),
+            lane_by_job: Vec::new(),
             expired: Vec::new(),
         }
     }
@@ -50,9 +52,10 @@
 
 impl Discipline for Baseline {
     fn push(&mut self, _now: Time, id: usize, job: &Job) -> bool {
-        self.started.resize(self.started.len().max(id + 1), 0);
-        self.started[id] = (self.lane_of)(job);
-        self.lanes[self.started[id]].push_back((id, job.deadline - job.cost));
+        self.lane_by_job
+            .resize(self.lane_by_job.len().max(id + 1), 0);
+        self.lane_by_job[id] = (self.lane_of)(job);
+        self.lanes[self.lane_by_job[id]].push_back((id, job.deadline - job.cost));
         true
     }
 
@@ -72,7 +75,7 @@
     }
 
     fn finish(&mut self, _now: Time, id: usize, _actual: Duration) {
-        self.running[self.started[id]] -= 1;
+        self.running[self.lane_by_job[id]] -= 1;
     }
 
     fn expire(&mut self, _now: Time, expired: &mut Vec<usize>) {
--- a/crates/queue/tests/common/mod.rs
+++ b/crates/queue/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded discrete-event loop of slots and arrivals in virtual time.
+//! Discrete-event simulation of slots and arrivals in virtual time.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -20,7 +20,7 @@
     collections::BinaryHeap, //
 };
 
-/// What the loop asks of a queue; jobs are named by their index.
+/// Queueing discipline under simulation; jobs are identified by their index.
 pub(crate) trait Discipline {
     fn push(&mut self, now: Time, id: usize, job: &Job) -> bool;
     fn pop(&mut self, now: Time) -> Option<usize>;
@@ -107,7 +107,7 @@
     }
 }
 
-/// How a job ended, or `None` while it has not.
+/// Whether and when a job was started or refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum End {
     Started(Time),
@@ -117,10 +117,11 @@
 /// Result of one run.
 pub(crate) struct Run {
     pub(crate) ends: Vec<Option<End>>,
-    /// Used part of the slots while anything waits.
+    /// Used part of the slots while a job waits, between 0 and 1.
     pub(crate) utilisation: f64,
 }
 
+/// State of a simulation; `used` and `offered` are in microseconds of slot time.
 struct Loop<'a> {
     jobs: &'a [Job],
     slots: usize,
@@ -131,7 +132,7 @@
     offered: u128,
 }
 
-/// Runs all jobs through `discipline` on `slots` slots until nothing waits or runs.
+/// Runs all jobs through `discipline` on `slots` slots until none waits or runs.
 pub(crate) fn run(discipline: &mut impl Discipline, slots: usize, jobs: &[Job]) -> Run {
     let mut state = Loop {
         jobs,
@@ -144,7 +145,7 @@
     };
     let mut next = 0;
     loop {
-        let arrival = jobs.get(next).map(|job| job.at);
+        let arrival = jobs.get(next).map(|job| job.arrival);
         let completion = state.running.peek().map(|Reverse((at, _))| *at);
         let expiry = discipline.next_expiry();
         let times = [arrival, completion, expiry].into_iter().flatten();
--- a/crates/queue/tests/decisions.rs
+++ b/crates/queue/tests/decisions.rs
@@ -11,14 +11,15 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-struct Bench {
+/// A queue with its customers and tickets.
+struct Fixture {
     queue: Queue,
     customers: Vec<customer::Key>,
     tickets: SlotMap<ticket::Key, ()>,
 }
 
-impl Bench {
-    /// Makes a queue for one slot with customers of equal shares.
+impl Fixture {
+    /// Creates a queue whose customers have equal shares.
     fn new(capacity: usize, customers: usize, classes: &[Class]) -> Self {
         let mut queue = Queue::new(capacity);
         let mut keys = SlotMap::<customer::Key, ()>::with_key();
@@ -33,18 +34,19 @@
         }
     }
 
-    fn request(&mut self, place: (usize, u8), deadline: Time) -> Request {
+    /// Makes a request for a customer and a class, both by index, that takes one second.
+    fn request(&mut self, flow: (usize, u8), deadline: Time) -> Request {
         Request {
             ticket: self.tickets.insert(()),
-            customer: self.customers[place.0],
-            class: class::Index(place.1),
+            customer: self.customers[flow.0],
+            class: class::Index(flow.1),
             deadline,
             cost: SECOND,
         }
     }
 
-    fn push(&mut self, now: u64, place: (usize, u8), deadline: u64) -> Result<Request, Refusal> {
-        let request = self.request(place, at(deadline));
+    fn push(&mut self, now: u64, flow: (usize, u8), deadline: u64) -> Result<Request, Refusal> {
+        let request = self.request(flow, at(deadline));
         self.queue.push(at(now), request, 1).map(|()| request)
     }
 
@@ -71,183 +73,187 @@
     }
 }
 
-const LOOSE: [Class; 3] = [class(10, 10_000, 1_000); 3];
+const LOOSE_LIMITS: [Class; 3] = [class(10, 10_000, 1_000); 3];
 
-/// Guards against a less urgent class that is served first although both are owed the same.
+/// Guards against a less urgent class that is served first although the start tags are equal.
 #[test]
 fn equal_tags_go_to_the_more_urgent_class() {
-    let mut bench = Bench::new(10, 2, &LOOSE);
-    for place in [(0, 2), (0, 0), (1, 1)] {
-        bench.push(0, place, 1_000).unwrap();
+    let mut fixture = Fixture::new(10, 2, &LOOSE_LIMITS);
+    for flow in [(0, 2), (0, 0), (1, 1)] {
+        fixture.push(0, flow, 1_000).unwrap();
     }
-    let order: Vec<_> = (0..3).map(|_| bench.pop(0).unwrap().class.0).collect();
+    let order: Vec<_> = (0..3).map(|_| fixture.pop(0).unwrap().class.0).collect();
     assert_eq!(order, [0, 1, 2]);
 }
 
-/// Guards against an idle customer or class that saves credit and shuts out the others when it comes back.
+/// Guards against an idle customer or class that saves up credit and starves the others when it becomes active.
 #[test]
 fn idle_flows_keep_no_credit() {
-    for places in [[(0, 0), (1, 0)], [(0, 0), (0, 1)]] {
-        let mut bench = Bench::new(100, 2, &LOOSE);
+    for flows in [[(0, 0), (1, 0)], [(0, 0), (0, 1)]] {
+        let mut fixture = Fixture::new(100, 2, &LOOSE_LIMITS);
         for now in 0..50 {
-            bench.push(now, places[0], 1_000).unwrap();
-            let grant = bench.pop(now).unwrap();
-            bench.queue.finish(at(now), &grant, SECOND);
+            fixture.push(now, flows[0], 1_000).unwrap();
+            let grant = fixture.pop(now).unwrap();
+            fixture.queue.finish(at(now), &grant, SECOND);
         }
         for _ in 0..10 {
-            bench.push(50, places[0], 1_000).unwrap();
-            bench.push(50, places[1], 1_000).unwrap();
+            fixture.push(50, flows[0], 1_000).unwrap();
+            fixture.push(50, flows[1], 1_000).unwrap();
         }
         let back = |grant: &Grant| {
-            (grant.customer, grant.class.0) == (bench.customers[places[1].0], places[1].1)
+            (grant.customer, grant.class.0) == (fixture.customers[flows[1].0], flows[1].1)
         };
-        let grants = (0..10).map(|_| bench.queue.pop(at(50), |_| true).unwrap());
+        let grants = (0..10).map(|_| fixture.queue.pop(at(50), |_| true).unwrap());
         let count = grants.filter(back).count();
-        assert!((4..=6).contains(&count), "{count} of 10 went to {places:?}");
+        assert!((4..=6).contains(&count), "{count} of 10 went to {flows:?}");
     }
 }
 
-/// Guards against a customer at its concurrency limit that blocks others or moves to the back.
+/// Guards against a customer at its concurrency limit that blocks others or loses its position.
 #[test]
 fn customer_at_its_limit_keeps_its_place() {
-    let mut bench = Bench::new(100, 3, &LOOSE);
-    let first = bench.push(0, (0, 0), 1_000).unwrap();
-    let limited = bench.customers[0];
+    let mut fixture = Fixture::new(100, 3, &LOOSE_LIMITS);
+    let first = fixture.push(0, (0, 0), 1_000).unwrap();
+    let limited = fixture.customers[0];
     for customer in [1, 2, 1, 2] {
-        bench.push(0, (customer, 0), 1_000).unwrap();
+        fixture.push(0, (customer, 0), 1_000).unwrap();
     }
     for _ in 0..2 {
-        let grant = bench.queue.pop(at(0), |customer| customer != limited);
+        let grant = fixture.queue.pop(at(0), |customer| customer != limited);
         assert_ne!(grant.unwrap().customer, limited);
     }
-    assert_eq!(bench.pop(0).unwrap().ticket, first.ticket);
+    assert_eq!(fixture.pop(0).unwrap().ticket, first.ticket);
 }
 
-/// Guards against customers beyond the rechecks of one `pop` that stay unserved after their limit was raised.
+/// Guards against parked customers that are never served again after their limit was raised.
+///
+/// One `pop` checks only some of the parked customers, and there are more of them here.
 #[test]
-fn every_released_customer_is_found() {
-    let mut bench = Bench::new(1_000, 300, &LOOSE);
+fn every_unparked_customer_is_found() {
+    let mut fixture = Fixture::new(1_000, 300, &LOOSE_LIMITS);
     for customer in 0..300 {
-        bench.push(0, (customer, 0), 100_000).unwrap();
+        fixture.push(0, (customer, 0), 100_000).unwrap();
     }
-    assert_eq!(bench.queue.pop(at(0), |_| false), None);
-    let last = bench.customers[250];
-    let mut turns = (0..300).map(|_| bench.queue.pop(at(0), |customer| customer == last));
+    assert_eq!(fixture.queue.pop(at(0), |_| false), None);
+    let last = fixture.customers[250];
+    let mut turns = (0..300).map(|_| fixture.queue.pop(at(0), |customer| customer == last));
     assert!(turns.any(|grant| grant.is_some()), "found without notice");
-    let told = bench.customers[120];
-    bench.queue.unpark(told);
-    let grant = bench.queue.pop(at(0), |customer| customer == told);
-    assert_eq!(grant.unwrap().customer, told);
+    let unparked = fixture.customers[120];
+    fixture.queue.unpark(unparked);
+    let grant = fixture.queue.pop(at(0), |customer| customer == unparked);
+    assert_eq!(grant.unwrap().customer, unparked);
 }
 
-/// Guards against starts after deadline minus cost or after the class's time limit.
+/// Guards against requests that start too late to end by their deadline, or after the queue timeout of their class.
 #[test]
 fn requests_expire_when_they_can_no_longer_start() {
-    let mut bench = Bench::new(10, 1, &[class(10, 20, 10)]);
-    let tight = bench.push(0, (0, 0), 6).unwrap();
-    let loose = bench.push(0, (0, 0), 1_000).unwrap();
-    assert_eq!(bench.queue.next_expiry(), Some(at(5)));
-    assert!(bench.expire(4).is_empty());
-    let (ticket, refusal) = bench.expire(5)[0];
+    let mut fixture = Fixture::new(10, 1, &[class(10, 20, 10)]);
+    let tight = fixture.push(0, (0, 0), 6).unwrap();
+    let loose = fixture.push(0, (0, 0), 1_000).unwrap();
+    assert_eq!(fixture.queue.next_expiry(), Some(at(5)));
+    assert!(fixture.expire(4).is_empty());
+    let (ticket, refusal) = fixture.expire(5)[0];
     assert_eq!(ticket, tight.ticket);
     assert_eq!(
         (refusal.outcome, refusal.reason),
         (Outcome::NotRun, Reason::DeadlineUnmet)
     );
-    assert!(bench.queue.cancel(loose.ticket));
-    bench.push(5, (0, 0), 1_000).unwrap();
-    assert_eq!(bench.queue.next_expiry(), Some(at(25)));
-    assert_eq!(bench.pop(25), None, "its time has passed");
-    assert_eq!(bench.expire(25).len(), 1);
+    assert!(fixture.queue.cancel(loose.ticket));
+    fixture.push(5, (0, 0), 1_000).unwrap();
+    assert_eq!(fixture.queue.next_expiry(), Some(at(25)));
+    assert_eq!(fixture.pop(25), None, "its time has passed");
+    assert_eq!(fixture.expire(25).len(), 1);
 }
 
-/// Guards against requests that wait although they can't be met, and against a retry_after that is too short.
+/// Guards against admission of requests whose deadline can't be met, and against a `retry_after` that is too short.
 #[test]
-fn unmet_deadline_is_refused_with_a_useful_time() {
-    let mut bench = Bench::new(100, 1, &LOOSE);
+fn unmet_deadline_is_refused_with_a_useful_retry_after() {
+    let mut fixture = Fixture::new(100, 1, &LOOSE_LIMITS);
     let refusal = loop {
-        match bench.push(0, (0, 0), 30) {
-            Ok(_) => assert!(bench.queue.len() < 30, "admits what can't be met"),
+        match fixture.push(0, (0, 0), 30) {
+            Ok(_) => assert!(fixture.queue.len() < 30, "admits what can't be met"),
             Err(refusal) => break refusal,
         }
     };
     assert_eq!(refusal.reason, Reason::DeadlineUnmet);
     let wait = refusal.retry_after.unwrap();
     for now in 0..wait.as_secs().max(1) + 3 {
-        let Some(grant) = bench.pop(now) else { break };
-        bench.queue.finish(at(now + 1), &grant, SECOND);
+        let Some(grant) = fixture.pop(now) else { break };
+        fixture.queue.finish(at(now + 1), &grant, SECOND);
     }
     let later = wait.as_secs() + 3;
     assert!(
-        bench.push(later, (0, 0), later + 30).is_ok(),
+        fixture.push(later, (0, 0), later + 30).is_ok(),
         "{wait:?} is too short"
     );
-    let late = bench.push(0, (0, 0), 1);
+    let late = fixture.push(0, (0, 0), 1);
     assert_eq!(late.unwrap_err().reason, Reason::DeadlineUnmet);
 }
 
-/// Guards against a full queue that refuses what comes last instead of what can't be answered in time.
+/// Guards against a full queue that refuses a new request and keeps one that can't be answered in time.
 #[test]
-fn full_queue_sheds_what_is_late() {
-    let mut bench = Bench::new(3, 1, &LOOSE);
-    bench.push(0, (0, 0), 1_000).unwrap();
-    let late = bench.push(0, (0, 0), 12).unwrap();
-    bench.push(0, (0, 0), 1_000).unwrap();
-    bench.push(10, (0, 0), 1_000).unwrap();
-    let shed = bench.expire(10);
+fn full_queue_sheds_late_requests() {
+    let mut fixture = Fixture::new(3, 1, &LOOSE_LIMITS);
+    fixture.push(0, (0, 0), 1_000).unwrap();
+    let late = fixture.push(0, (0, 0), 12).unwrap();
+    fixture.push(0, (0, 0), 1_000).unwrap();
+    fixture.push(10, (0, 0), 1_000).unwrap();
+    let shed = fixture.expire(10);
     assert_eq!(shed[0].0, late.ticket);
     assert_eq!((shed.len(), shed[0].1.reason), (1, Reason::DeadlineUnmet));
 }
 
-/// Guards against a flood that fills the queue and keeps others out.
+/// Guards against a flood that fills the queue so that requests of others are refused.
 #[test]
-fn full_queue_makes_room_for_flows_with_less() {
-    for place in [(1, 0), (0, 1)] {
-        let mut bench = Bench::new(3, 2, &LOOSE);
+fn full_queue_makes_room_for_flows_with_fewer_requests() {
+    for flow in [(1, 0), (0, 1)] {
+        let mut fixture = Fixture::new(3, 2, &LOOSE_LIMITS);
         for _ in 0..3 {
-            bench.push(0, (0, 0), 1_000).unwrap();
+            fixture.push(0, (0, 0), 1_000).unwrap();
         }
-        let own = bench.push(0, (0, 0), 1_000).unwrap_err();
+        let own = fixture.push(0, (0, 0), 1_000).unwrap_err();
         assert_eq!(own.reason, Reason::QueueFull);
         assert!(own.retry_after.is_some());
-        bench.push(0, place, 1_000).unwrap();
-        assert_eq!(bench.expire(0)[0].1.reason, Reason::QueueFull);
-        assert_eq!(bench.queue.len(), 3);
+        fixture.push(0, flow, 1_000).unwrap();
+        assert_eq!(fixture.expire(0)[0].1.reason, Reason::QueueFull);
+        assert_eq!(fixture.queue.len(), 3);
     }
 }
 
-/// Guards against a class that exceeds its count limit.
+/// Guards against a class with more queued requests than its limit.
 #[test]
 fn class_limit_is_kept() {
-    let mut bench = Bench::new(100, 1, &[class(10, 1_000, 2), class(10, 1_000, 0)]);
-    bench.push(0, (0, 0), 1_000).unwrap();
-    bench.push(0, (0, 0), 1_000).unwrap();
-    for place in [(0, 0), (0, 1)] {
-        let refusal = bench.push(0, place, 1_000).unwrap_err();
+    let mut fixture = Fixture::new(100, 1, &[class(10, 1_000, 2), class(10, 1_000, 0)]);
+    fixture.push(0, (0, 0), 1_000).unwrap();
+    fixture.push(0, (0, 0), 1_000).unwrap();
+    for flow in [(0, 0), (0, 1)] {
+        let refusal = fixture.push(0, flow, 1_000).unwrap_err();
         assert_eq!(refusal.reason, Reason::QueueFull);
     }
-    let unknown = bench.push(0, (0, 2), 1_000).unwrap_err();
+    let unknown = fixture.push(0, (0, 2), 1_000).unwrap_err();
     assert_eq!(unknown.reason, Reason::PoolUnknown);
 }
 
-/// Guards against overflow and division by zero.
+/// Guards against overflow and division by zero at the smallest and largest shares, costs, slots and deadlines.
 #[test]
-fn extreme_values_are_survived() {
+fn extreme_values_cause_no_panic() {
     let ends = [class(0, u64::MAX, u32::MAX), class(u32::MAX, 0, 1)];
-    let mut bench = Bench::new(10, 1, &ends);
+    let mut fixture = Fixture::new(10, 1, &ends);
     for share in [0, u32::MAX] {
-        let customer = bench.customers[0];
-        bench.queue.set_customer(at(0), customer, share, &ends);
+        let customer = fixture.customers[0];
+        fixture.queue.set_customer(at(0), customer, share, &ends);
         for (cost, slots) in [(Duration::ZERO, 0), (Duration::MAX, u32::MAX)] {
             for deadline in [Time::MIN, Time::MAX] {
-                let request = bench.request((0, 0), deadline);
-                let _ = bench.queue.push(at(0), Request { cost, ..request }, slots);
+                let request = fixture.request((0, 0), deadline);
+                let _ = fixture
+                    .queue
+                    .push(at(0), Request { cost, ..request }, slots);
             }
-            while let Some(grant) = bench.pop(0) {
-                bench.queue.finish(at(0), &grant, Duration::MAX);
-                bench.queue.finish(at(0), &grant, Duration::ZERO);
+            while let Some(grant) = fixture.pop(0) {
+                fixture.queue.finish(at(0), &grant, Duration::MAX);
+                fixture.queue.finish(at(0), &grant, Duration::ZERO);
             }
         }
     }
-    assert!(bench.queue.is_empty());
+    assert!(fixture.queue.is_empty());
 }
--- a/crates/queue/tests/flood.rs
+++ b/crates/queue/tests/flood.rs
@@ -1,4 +1,4 @@
-//! What a flood leaves to the others, beside one FIFO, strict priority and a static partition.
+//! Service of other customers and classes during a flood, compared with a FIFO, strict priority and a static partition.
 
 mod common;
 
@@ -7,10 +7,10 @@
     baseline::Baseline,
     load::{
         Job,
-        SERVICE_MEAN,
+        SERVICE_MEAN_SECONDS,
         Stream,
-        draw,
-        in_turn, //
+        alternating_bursts,
+        draw_jobs, //
     },
     run,
     table::{
@@ -24,8 +24,9 @@
 use sassafrascrank_queue::Class;
 use std::fmt::Write;
 
-/// 10 runners of 8 slots.
+/// Slots of 10 upstreams with 8 slots each.
 const SLOTS: usize = 80;
+/// Length of the arrivals of one run.
 const SECONDS: usize = 24;
 const SEED: u64 = 7;
 
@@ -37,24 +38,25 @@
     }
 }
 
+/// Shares of the customers of a pool in percent, and the classes that each of them has.
 struct Pool {
     shares: &'static [u32],
     classes: &'static [Class],
 }
 
-const VANUA: Pool = Pool {
+const ONE_CUSTOMER: Pool = Pool {
     shares: &[100],
     classes: &[class(60, 3), class(20, 3), class(10, 4)],
 };
-const TRENZAS: Pool = Pool {
+const FOUR_CUSTOMERS: Pool = Pool {
     shares: &[25, 25, 25, 25],
     classes: &[class(60, 3), class(40, 4)],
 };
 
 impl Pool {
-    /// Makes a stream whose bursts, five times its mean, demand `burst` of the pool.
-    fn stream(&self, name: &'static str, place: (usize, u8), burst: f64, error: f64) -> Stream {
-        let (customer, class) = place;
+    /// Creates a stream of a customer and class whose bursts demand the part `burst` of the pool, five times its mean.
+    fn stream(&self, name: &'static str, flow: (usize, u8), burst: f64, cost_error: f64) -> Stream {
+        let (customer, class) = flow;
         let limits = self.classes[usize::from(class)];
         let share = f64::from(self.shares[customer] * limits.share) / 1e4;
         let turn = customer + usize::from(class);
@@ -64,8 +66,8 @@
             customer,
             class,
             share,
-            demand: in_turn(burst / 5.0, turn, turns, SECONDS),
-            error,
+            demand: alternating_bursts(burst / 5.0, turn, turns, SECONDS),
+            cost_error,
             timeout: limits.timeout + Duration::from_secs(1),
         }
     }
@@ -75,6 +77,7 @@
     }
 }
 
+/// Raises the demand of a stream to ten times the pool.
 fn flood(stream: &mut Stream) {
     stream.demand = vec![10.0; SECONDS];
 }
@@ -100,9 +103,9 @@
             stream.name,
             row.in_time,
             100.0 * row.kept,
-            row.wait,
+            row.wait_ms,
             row.refused,
-            row.refusal
+            row.refusal_ms
         )
         .unwrap();
     }
@@ -126,12 +129,12 @@
     (fair, measured, table)
 }
 
-/// Checks what holds in every flood: utilisation, time to refusal, and what the others keep.
+/// Checks the bounds for every flood: utilisation, time to a refusal, and slot time of the other streams.
 fn check(seed: u64, run: &Run, streams: &[Stream], rows: &[Row], flooding: &[usize], table: &str) {
     assert!(run.utilisation >= 0.98, "seed {seed}: utilisation\n{table}");
     for (index, (stream, row)) in streams.iter().zip(rows).enumerate() {
         let name = stream.name;
-        let late = row.refused > 0 && row.refusal > 100;
+        let late = row.refused > 0 && row.refusal_ms > 100;
         assert!(!late, "seed {seed}: refusals of {name}\n{table}");
         let kept = flooding.contains(&index) || row.kept >= 0.99;
         assert!(kept, "seed {seed}: share of {name}\n{table}");
@@ -140,7 +143,7 @@
 
 /// Runs the queue alone and checks the bounds.
 fn check_seed(seed: u64, pool: &Pool, streams: &[Stream], flooding: &[usize]) -> Vec<Row> {
-    let jobs = draw(seed, SLOTS, streams);
+    let jobs = draw_jobs(seed, SLOTS, streams);
     let fair = run(&mut pool.fair(), SLOTS, &jobs);
     let measured = rows(&fair, &jobs, streams);
     let mut table = String::new();
@@ -149,25 +152,25 @@
     measured
 }
 
-fn vanua(preview: f64, interactive: f64, overnight: f64) -> Vec<Stream> {
-    // The declared costs are wrong in the direction that favours the less urgent classes.
+fn one_customer_streams(preview: f64, interactive: f64, overnight: f64) -> Vec<Stream> {
+    // The errors of the declared costs favour the less urgent classes.
     vec![
-        VANUA.stream("preview", (0, 0), preview, 3.0),
-        VANUA.stream("interactive", (0, 1), interactive, 1.0),
-        VANUA.stream("overnight", (0, 2), overnight, 0.3),
+        ONE_CUSTOMER.stream("preview", (0, 0), preview, 3.0),
+        ONE_CUSTOMER.stream("interactive", (0, 1), interactive, 1.0),
+        ONE_CUSTOMER.stream("overnight", (0, 2), overnight, 0.3),
     ]
 }
 
-/// Guards against overnight work that delays counter previews which stay within their share.
+/// Guards against overnight work that delays previews, although they stay within their share.
 #[test]
 fn overnight_flood_leaves_previews_their_deadlines() {
-    let mut streams = vanua(0.55, 0.18, 0.09);
-    let quiet_jobs = draw(SEED, SLOTS, &streams);
-    let quiet = run(&mut VANUA.fair(), SLOTS, &quiet_jobs);
+    let mut streams = one_customer_streams(0.55, 0.18, 0.09);
+    let quiet_jobs = draw_jobs(SEED, SLOTS, &streams);
+    let quiet = run(&mut ONE_CUSTOMER.fair(), SLOTS, &quiet_jobs);
     let before = rows(&quiet, &quiet_jobs, &streams);
     flood(&mut streams[2]);
-    let jobs = draw(SEED, SLOTS, &streams);
-    let (fair, after, table) = compare(&VANUA, &streams, &jobs);
+    let jobs = draw_jobs(SEED, SLOTS, &streams);
+    let (fair, after, table) = compare(&ONE_CUSTOMER, &streams, &jobs);
     check(SEED, &fair, &streams, &after, &[2], &table);
     let added = added_wait(0, (&quiet, &quiet_jobs), (&fair, &jobs));
     let ratio = after[0].in_time as f64 / before[0].in_time as f64;
@@ -176,51 +179,51 @@
         "seed {SEED}: previews in time {ratio}\n{table}"
     );
     assert!(
-        added.as_secs_f64() <= SERVICE_MEAN,
+        added.as_secs_f64() <= SERVICE_MEAN_SECONDS,
         "seed {SEED}: {added:?}"
     );
     let added = added.as_millis();
     insta::assert_snapshot!(format!("{table}added wait of previews p99 {added} ms\n"));
 }
 
-/// Guards against bursts above the share that get less than the share during an overnight flood.
+/// Guards against bursts beyond the share that get less than the share during an overnight flood.
 #[test]
 fn overnight_flood_leaves_bursts_above_the_share_their_share() {
-    let mut streams = vanua(1.25, 0.4, 0.0);
+    let mut streams = one_customer_streams(1.25, 0.4, 0.0);
     flood(&mut streams[2]);
-    let jobs = draw(SEED, SLOTS, &streams);
-    let (fair, after, table) = compare(&VANUA, &streams, &jobs);
+    let jobs = draw_jobs(SEED, SLOTS, &streams);
+    let (fair, after, table) = compare(&ONE_CUSTOMER, &streams, &jobs);
     check(SEED, &fair, &streams, &after, &[2], &table);
     insta::assert_snapshot!(table);
 }
 
-/// Guards against urgent work that starves the other classes.
+/// Guards against a flood of urgent work that starves the other classes.
 #[test]
 fn urgent_flood_leaves_other_classes_their_share() {
-    let mut streams = vanua(0.0, 0.4, 0.2);
+    let mut streams = one_customer_streams(0.0, 0.4, 0.2);
     flood(&mut streams[0]);
-    let jobs = draw(SEED, SLOTS, &streams);
-    let (fair, after, table) = compare(&VANUA, &streams, &jobs);
+    let jobs = draw_jobs(SEED, SLOTS, &streams);
+    let (fair, after, table) = compare(&ONE_CUSTOMER, &streams, &jobs);
     check(SEED, &fair, &streams, &after, &[0], &table);
     insta::assert_snapshot!(table);
 }
 
-fn trenzas(flooding: &[usize]) -> (Vec<Stream>, Vec<usize>) {
+fn four_customer_streams(flooding: &[usize]) -> (Vec<Stream>, Vec<usize>) {
     let names = [
         ["alba/q", "alba/l"],
         ["brisa/q", "brisa/l"],
         ["cedro/q", "cedro/l"],
         ["duna/q", "duna/l"],
     ];
-    let errors = [3.0, 0.3, 1.0, 2.0];
+    let cost_errors = [3.0, 0.3, 1.0, 2.0];
     let mut streams = Vec::new();
-    for (house, [quoting, ledger]) in names.into_iter().enumerate() {
-        streams.push(TRENZAS.stream(quoting, (house, 0), 0.3, errors[house]));
-        streams.push(TRENZAS.stream(ledger, (house, 1), 0.2, errors[house]));
+    for (customer, [quoting, ledger]) in names.into_iter().enumerate() {
+        streams.push(FOUR_CUSTOMERS.stream(quoting, (customer, 0), 0.3, cost_errors[customer]));
+        streams.push(FOUR_CUSTOMERS.stream(ledger, (customer, 1), 0.2, cost_errors[customer]));
     }
     let flooded = flooding
         .iter()
-        .flat_map(|&house| [2 * house, 2 * house + 1]);
+        .flat_map(|&customer| [2 * customer, 2 * customer + 1]);
     let flooded: Vec<_> = flooded.collect();
     for &index in &flooded {
         flood(&mut streams[index]);
@@ -229,44 +232,49 @@
     (streams, flooded)
 }
 
-/// Returns Jain's index of the slot time of `houses`.
-fn fairness(houses: &[usize], rows: &[Row]) -> f64 {
-    let time = |house: &usize| rows[2 * house].slot_time + rows[2 * house + 1].slot_time;
-    jain(&houses.iter().map(time).collect::<Vec<_>>())
+/// Returns Jain's index of the slot time of `customers`.
+fn fairness(customers: &[usize], rows: &[Row]) -> f64 {
+    let time =
+        |customer: &usize| rows[2 * customer].slot_seconds + rows[2 * customer + 1].slot_seconds;
+    jain(&customers.iter().map(time).collect::<Vec<_>>())
 }
 
 /// Guards against bounds that hold for one seed only.
 ///
-/// With seed 3, the error of the learned cost made more than 1% of the refusals of brisa's quoting late.
+/// With seed 3, an error of the learned cost once made more than 1% of the refusals of the stream `brisa/q` late.
 #[test]
 fn bounds_hold_for_other_seeds() {
     for seed in [1, 2, 3, 4] {
         for (index, demand) in [(2, [0.55, 0.18, 0.09]), (0, [0.0, 0.4, 0.2])] {
-            let mut streams = vanua(demand[0], demand[1], demand[2]);
+            let mut streams = one_customer_streams(demand[0], demand[1], demand[2]);
             flood(&mut streams[index]);
-            check_seed(seed, &VANUA, &streams, &[index]);
+            check_seed(seed, &ONE_CUSTOMER, &streams, &[index]);
         }
-        for houses in [&[1][..], &[1, 3], &[0, 1, 2, 3]] {
-            let (streams, flooded) = trenzas(houses);
-            let measured = check_seed(seed, &TRENZAS, &streams, &flooded);
-            let index = fairness(houses, &measured);
+        for customers in [&[1][..], &[1, 3], &[0, 1, 2, 3]] {
+            let (streams, flooded) = four_customer_streams(customers);
+            let measured = check_seed(seed, &FOUR_CUSTOMERS, &streams, &flooded);
+            let index = fairness(customers, &measured);
             assert!(index >= 0.99, "seed {seed}: Jain's index {index}");
         }
     }
 }
 
-/// Guards against houses that lose their share to flooding houses, and against unequal floods.
+/// Guards against customers that lose their share to flooding customers, and against unequal floods.
 #[test]
-fn flooding_houses_leave_the_others_their_share() {
+fn flooding_customers_leave_the_others_their_share() {
     let mut tables = String::new();
     for flooding in [&[1][..], &[1, 3], &[0, 1, 2, 3]] {
-        let (streams, flooded) = trenzas(flooding);
-        let jobs = draw(SEED, SLOTS, &streams);
-        let (fair, after, table) = compare(&TRENZAS, &streams, &jobs);
+        let (streams, flooded) = four_customer_streams(flooding);
+        let jobs = draw_jobs(SEED, SLOTS, &streams);
+        let (fair, after, table) = compare(&FOUR_CUSTOMERS, &streams, &jobs);
         check(SEED, &fair, &streams, &after, &flooded, &table);
         let index = fairness(flooding, &after);
         assert!(index >= 0.99, "seed {SEED}: Jain's index {index}\n{table}");
-        writeln!(tables, "{table}Jain's index of flooding houses {index:.4}").unwrap();
+        writeln!(
+            tables,
+            "{table}Jain's index of flooding customers {index:.4}"
+        )
+        .unwrap();
     }
     insta::assert_snapshot!(tables);
 }
--- a/crates/queue/tests/races.rs
+++ b/crates/queue/tests/interleavings.rs
@@ -15,12 +15,12 @@
 use slotmap::SlotMap;
 use std::collections::HashMap;
 
-const CAPACITY: usize = 48;
-const TICKETS: usize = 128;
-const LIMIT: u32 = 12;
+const QUEUE_CAPACITY: usize = 48;
+const TICKET_LIMIT: usize = 128;
+const CLASS_QUEUE_LIMIT: u32 = 12;
 const STEPS: usize = 6_000;
 
-/// The queue with what it must have told so far.
+/// The queue and the state of each request that it must agree with.
 struct Model {
     seed: u64,
     random: StdRng,
@@ -37,7 +37,7 @@
     let class = |share, timeout| Class {
         share,
         timeout: Duration::from_millis(timeout),
-        limit: LIMIT,
+        limit: CLASS_QUEUE_LIMIT,
     };
     [class(60, 500), class(30, 900)]
 }
@@ -48,9 +48,9 @@
             seed,
             random: StdRng::seed_from_u64(seed),
             now: Time::from_millis(1_000),
-            queue: Queue::new(CAPACITY),
+            queue: Queue::new(QUEUE_CAPACITY),
             customers: SlotMap::with_key(),
-            tickets: SlotMap::with_capacity_and_key(TICKETS),
+            tickets: SlotMap::with_capacity_and_key(TICKET_LIMIT),
             waiting: HashMap::new(),
             running: Vec::new(),
             finished: Vec::new(),
@@ -61,8 +61,10 @@
                 .queue
                 .set_customer(model.now, customer, share * 5, &classes());
         }
-        // The largest ticket index is used once, since the containers grow with it.
-        let all: Vec<_> = (0..TICKETS).map(|_| model.tickets.insert(())).collect();
+        // Using the largest ticket index once lets the containers grow to their final size.
+        let all: Vec<_> = (0..TICKET_LIMIT)
+            .map(|_| model.tickets.insert(()))
+            .collect();
         for ticket in all {
             model.offer(ticket, 2_000);
             model.pop(true);
@@ -90,19 +92,19 @@
     }
 
     fn push(&mut self) {
-        if self.tickets.len() < TICKETS {
+        if self.tickets.len() < TICKET_LIMIT {
             let ticket = self.tickets.insert(());
-            let patience = self.pick(1_500) as u64;
-            self.offer(ticket, patience);
+            let timeout_ms = self.pick(1_500) as u64;
+            self.offer(ticket, timeout_ms);
         }
     }
 
-    fn offer(&mut self, ticket: ticket::Key, patience: u64) {
+    fn offer(&mut self, ticket: ticket::Key, timeout_ms: u64) {
         let request = Request {
             ticket,
             customer: self.customer(),
             class: class::Index(self.pick(2) as u8),
-            deadline: self.now + Duration::from_millis(patience),
+            deadline: self.now + Duration::from_millis(timeout_ms),
             cost: Duration::from_micros(self.pick(40_000) as u64),
         };
         match self.queue.push(self.now, request, 4) {
@@ -121,6 +123,7 @@
         }
     }
 
+    /// Pops a request; unless `all` is set, one random customer is at its limit.
     fn pop(&mut self, all: bool) {
         let limited = self.customer();
         let eligible = |customer| all || customer != limited;
@@ -152,7 +155,7 @@
         self.finished.push(grant);
     }
 
-    /// Uses keys that are no longer valid.
+    /// Cancels and finishes a ticket that has already been finished, which must have no effect.
     fn repeat_stale(&mut self) {
         if self.finished.is_empty() {
             return;
@@ -229,7 +232,11 @@
             95 => self.change_customer(),
             _ => self.now = self.now + Duration::from_millis(self.pick(60) as u64),
         }
-        assert!(self.queue.len() <= CAPACITY, "seed {}: capacity", self.seed);
+        assert!(
+            self.queue.len() <= QUEUE_CAPACITY,
+            "seed {}: capacity",
+            self.seed
+        );
         let mut counts = HashMap::new();
         if self.queue.next_expiry() != Some(Time::MIN) {
             for request in self.waiting.values() {
@@ -237,12 +244,12 @@
             }
         }
         let most = counts.into_values().max().unwrap_or(0);
-        assert!(most <= LIMIT, "seed {}: class limit", self.seed);
+        assert!(most <= CLASS_QUEUE_LIMIT, "seed {}: class limit", self.seed);
     }
 }
 
-/// Guards against lost requests, double grants, exceeded bounds, stale keys that act, idle slots beside waiting
-/// requests, and containers that grow in the steady state.
+/// Guards against lost requests, double grants, exceeded limits, stale keys that have an effect, slots that stay idle
+/// while requests wait, and containers that grow in the steady state.
 #[test]
 fn random_interleavings_keep_every_request() {
     let mut granted = 0;
