--- a/crates/dispatch/src/engine/configure.rs
+++ b/crates/dispatch/src/engine/configure.rs
@@ -87,9 +87,9 @@
             .iter()
             .map(|configured| configured.key)
             .collect();
-        let gone = self.customers.keys().filter(|key| !kept.contains(key));
-        let gone: Vec<customer::Key> = gone.collect();
-        for key in gone {
+        let removed = self.customers.keys().filter(|key| !kept.contains(key));
+        let removed: Vec<customer::Key> = removed.collect();
+        for key in removed {
             let customer = self.customers.remove(key);
             let shares = customer.map(|customer| customer.shares).unwrap_or_default();
             let pools = shares.into_iter().map(|(pool, _)| pool);
@@ -123,9 +123,15 @@
             }
         }
         let kept: BTreeSet<_> = configured.shares.iter().map(|(pool, _)| *pool).collect();
-        let lost = before.into_iter().map(|(pool, _)| pool);
-        let lost = lost.filter(|pool| !kept.contains(pool));
-        self.remove_from_queues(now, configured.key, lost, Reason::PoolUnknown, decisions);
+        let removed_pools = before.into_iter().map(|(pool, _)| pool);
+        let removed_pools = removed_pools.filter(|pool| !kept.contains(pool));
+        self.remove_from_queues(
+            now,
+            configured.key,
+            removed_pools,
+            Reason::PoolUnknown,
+            decisions,
+        );
         let customer = &self.customers[configured.key];
         for &(pool, share) in &configured.shares {
             if let Some(pool) = self.pools.get_mut(pool) {
--- a/crates/dispatch/tests/common/pair.rs
+++ b/crates/dispatch/tests/common/pair.rs
@@ -240,7 +240,7 @@
     fn send_requests(&mut self, load: &Load) {
         let mean = load.per_second * STEP.as_secs_f64();
         let chance = mean.fract();
-        // The number of requests varies from step to step like that of independent callers.
+        // Draws a binomial number of requests with this mean, which varies like that of independent callers.
         let random = self.flow_random((load.customer, load.class, load.entry));
         let mut count = u32::from(random.random_bool(chance));
         for _ in 0..2 * (mean as u32) {
--- a/crates/queue/src/queue/admission.rs
+++ b/crates/queue/src/queue/admission.rs
@@ -32,7 +32,8 @@
     ///
     /// # Errors
     ///
-    /// Refuses the request if its deadline can't be met or if no room can be made for it.
+    /// Refuses the request if its deadline can't be met, if no room can be made for it, or if its customer or class is
+    /// unknown.
     pub(super) fn admit(&mut self, now: Time, request: &Request) -> Result<Time, Refusal> {
         let unknown = Refusal::not_run(Reason::PoolUnknown);
         let account = self.accounts.get(request.customer).ok_or(unknown)?;
--- a/crates/queue/src/queue/lane.rs
+++ b/crates/queue/src/queue/lane.rs
@@ -48,7 +48,7 @@
     expected_sum: u64,
     /// Decaying sum of actual costs in microseconds.
     actual_sum: u64,
-    /// Number of finished requests, up to `WINDOW`.
+    /// Number of finished requests, up to `RATIO_WINDOW`.
     samples: u64,
 }
 
@@ -125,7 +125,7 @@
 
     /// Returns the expected cost of the requests before `entry`, in microseconds.
     ///
-    /// The result is an upper bound: requests that were removed before `entry` count until the front has passed them.
+    /// The result is an upper bound: removed requests count until the first request is one that arrived after them.
     pub(crate) fn work_before(&self, entries: &SlotMap<entry::Key, Entry>, entry: &Entry) -> u64 {
         let front = self.first.and_then(|first| entries.get(first));
         let passed = front.map_or(entry.work_entered_before, |front| front.work_entered_before);
