--- a/crates/claim/src/key/id.rs
+++ b/crates/claim/src/key/id.rs
@@ -1,4 +1,4 @@
-//! The `Copy` part of a key.
+//! The part of a key that identifies it within its zone.
 
 use sassafrascrank_base::{
     hash::mix,
@@ -25,7 +25,9 @@
         Time::from_millis((self.0 >> 80) as u64)
     }
 
-    /// Returns a hash that is the same in every process and version.
+    /// Returns the hash that decides the owner of the key.
+    ///
+    /// It is the same in every process and version, because entries of different versions must agree on the owner.
     pub const fn hash(self) -> u64 {
         mix(mix((self.0 >> 64) as u64) ^ self.0 as u64)
     }
--- a/crates/claim/src/key/key.rs
+++ b/crates/claim/src/key/key.rs
@@ -1,4 +1,4 @@
-//! A key as callers send it.
+//! Text form of an idempotency key.
 
 use super::Id;
 use core::{
@@ -14,8 +14,8 @@
 };
 use uuid::Uuid;
 
-/// Longest key in bytes: a name of 63 bytes, the colon and a hyphenated UUID.
-const LENGTH_LIMIT: usize = 100;
+/// Longest key that is accepted: a name of 63 bytes, the colon and a hyphenated UUID of 36 bytes.
+const MAX_KEY_BYTES: usize = 100;
 
 /// Idempotency key `<availability zone>:<UUIDv7>`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -24,13 +24,13 @@
     id: Id,
 }
 
-/// The text is not a usable key; each message names the remedy.
+/// Why a text is not a valid key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
     /// The text is too long.
     #[error(
-        "the key has {0} bytes: send <availability zone>:<UUIDv7> with at most {LENGTH_LIMIT} bytes"
+        "the key has {0} bytes: send <availability zone>:<UUIDv7> with at most {MAX_KEY_BYTES} bytes"
     )]
     Length(usize),
     /// The colon is missing.
@@ -53,7 +53,7 @@
         Self { zone, id }
     }
 
-    /// Returns the home zone, whose entries own the key.
+    /// Returns the home zone of the key: one of its entries owns the key.
     pub const fn zone(&self) -> &Name {
         &self.zone
     }
@@ -68,7 +68,7 @@
         self.id.created()
     }
 
-    /// Returns a hash that is the same in every process and version.
+    /// Returns the hash that decides the owner of the key; it is the same in every process and version.
     pub const fn hash(&self) -> u64 {
         self.id.hash()
     }
@@ -78,18 +78,18 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        if text.len() > LENGTH_LIMIT {
+        if text.len() > MAX_KEY_BYTES {
             return Err(Error::Length(text.len()));
         }
         let (zone, uuid) = text
             .split_once(':')
             .ok_or_else(|| Error::Zone(text.to_owned()))?;
         let zone = Name::new(zone)?;
-        let bad = || Error::Uuid(uuid.to_owned());
+        let not_a_uuid = || Error::Uuid(uuid.to_owned());
         if uuid.len() != 36 {
-            return Err(bad());
+            return Err(not_a_uuid());
         }
-        let uuid = Uuid::try_parse(uuid).map_err(|_| bad())?;
+        let uuid = Uuid::try_parse(uuid).map_err(|_| not_a_uuid())?;
         if uuid.get_version_num() != 7 || uuid.get_variant() != uuid::Variant::RFC4122 {
             return Err(Error::Version(uuid));
         }
--- a/crates/claim/src/key/mod.rs
+++ b/crates/claim/src/key/mod.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys of callers.
+//! Idempotency keys that callers send with their requests.
 
 mod id;
 mod key;
--- a/crates/claim/src/lease/lease.rs
+++ b/crates/claim/src/lease/lease.rs
@@ -1,8 +1,8 @@
-//! The lease of one entry on the keys that it owns.
+//! Lease of one entry on the keys that it owns.
 
 use super::{
     Limit,
-    fence::Fence,
+    fence::Fences,
     round::Round, //
 };
 use crate::member::{
@@ -21,14 +21,14 @@
     Time, //
 };
 
-/// Membership of this entry as it knows it.
+/// Membership of this entry, as far as it has read the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
     /// It has not read its join yet.
     Outside,
-    /// It read its join at the given time and has no witness yet, so its fence is infinite.
+    /// It read its join at the given time, and no active member has acknowledged it yet; its fence is infinite.
     Joining(Time),
-    /// It is an active member with the given fence against all earlier owners.
+    /// It is an active member; the time is its fence against all owners before its join.
     Active(Time),
     /// It was removed by its own leave or by a retirement; it never runs a key again.
     Departed,
@@ -36,10 +36,12 @@
 
 /// View, horizon and fences of one entry process.
 ///
-/// The safety of the lease rests on three rules for its user. The present time given with something that was received
-/// is taken after its receipt; the start of a request is taken before it is sent. A decision to run a key is entered
-/// in the table before the next record is applied. A new process has a higher incarnation than any before on its
-/// host, from 1.
+/// The lease is safe only if its user keeps three rules:
+///
+/// - The time passed with a received message or record is read after its receipt; the start of a request is read before
+///   it is sent.
+/// - A decision to run a key is entered in the table before the next record is applied.
+/// - A new process has a higher incarnation than any earlier one on its host, from 1.
 #[derive(Clone, Debug)]
 pub struct Lease {
     pub(super) me: Entry,
@@ -47,33 +49,37 @@
     pub(super) limit: Limit,
     pub(super) fold: Fold,
     pub(super) state: State,
-    /// Fence of the join at the departure of this entry.
-    pub(super) last_base: Time,
-    pub(super) fence: Fence,
+    /// Fence of the join when this entry departed.
+    pub(super) last_join_fence: Time,
+    pub(super) fences: Fences,
     /// Latest creation time that a confirmed view lets this entry run; it never falls.
     pub(super) horizon: Time,
-    /// Whether this entry has stopped running new keys for good.
+    /// Whether this entry has stopped running new keys and never resumes.
     pub(super) frozen: bool,
-    /// Members of the zone at the departure of this entry, if it read that very record.
+    /// State of the zone right after the departure of this entry, if it read the record of the departure.
     pub(super) successors: Option<Zone>,
+    /// Start of the last log read that confirmed the view.
     pub(super) last_read: Option<Time>,
-    /// Whether the fence was set without a witness, so that a late witness may lower it.
-    pub(super) alone: bool,
+    /// Whether this entry became active without an acknowledgement of its join; a late one may lower its fence.
+    pub(super) is_unacknowledged: bool,
+    /// Confirmation by the peers that is in progress.
     pub(super) round: Option<Round>,
+    /// Sequence number of the last record that this entry made.
     sequence: u64,
+    /// Record whose append has not been read back yet.
     pub(super) pending: Option<Record>,
 }
 
-/// Why an entry can't append a membership record now.
+/// Why this entry can't append a membership record now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
     /// Another append of this entry is in flight.
     #[error("a membership append is in flight: repeat it until it is read back")]
     Pending,
-    /// The state of this entry doesn't allow the record.
+    /// The membership of this entry doesn't allow the record.
     #[error(
-        "the state {0:?} doesn't allow this record: join as an entry with a higher incarnation, or wait"
+        "the membership state {0:?} doesn't allow this record: join with a higher incarnation, or wait"
     )]
     State(State),
     /// The entry to retire is not another member of the zone.
@@ -82,7 +88,7 @@
 }
 
 impl Lease {
-    /// Makes the lease of an entry that has not joined; `fold` is what it has read so far.
+    /// Creates the lease of an entry that has not joined; `fold` is what it has read so far.
     pub const fn new(me: Entry, zone: Name, limit: Limit, fold: Fold) -> Self {
         Self {
             me,
@@ -90,13 +96,13 @@
             limit,
             fold,
             state: State::Outside,
-            last_base: Time::MAX,
-            fence: Fence::new(),
+            last_join_fence: Time::MAX,
+            fences: Fences::new(),
             horizon: Time::MIN,
             frozen: false,
             successors: None,
             last_read: None,
-            alone: false,
+            is_unacknowledged: false,
             round: None,
             sequence: 0,
             pending: None,
@@ -108,17 +114,17 @@
         &self.me
     }
 
-    /// Returns the present view; a clone of it is a snapshot.
+    /// Returns the current view; a clone of it is a snapshot.
     pub const fn view(&self) -> &View {
         self.fold.view()
     }
 
-    /// Returns the membership of this entry.
+    /// Returns the membership state of this entry.
     pub const fn state(&self) -> State {
         self.state
     }
 
-    /// Returns the latest creation time that this entry may run.
+    /// Returns the latest creation time of a key that this entry may run.
     pub const fn horizon(&self) -> Time {
         self.horizon
     }
@@ -139,7 +145,7 @@
         }
         let entry = self.me.clone();
         let zone = self.zone.clone();
-        self.prepare(Change::Join {
+        self.prepare_append(Change::Join {
             entry,
             zone,
             address,
@@ -150,14 +156,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if this entry is not a member or has an append in flight; new keys are stopped all the same.
+    /// Fails if this entry is not a member or has an append in flight. It stops running new keys even then.
     pub fn leave(&mut self) -> Result<Record, Error> {
         self.frozen = true;
         if !self.is_member() {
             return Err(Error::State(self.state));
         }
         let entry = self.me.clone();
-        self.prepare(Change::Leave { entry })
+        self.prepare_append(Change::Leave { entry })
     }
 
     /// Makes the record that retires a member that this entry has not heard from.
@@ -177,7 +183,7 @@
             return Err(Error::Target);
         }
         let by = self.me.clone();
-        self.prepare(Change::Retire { entry, by })
+        self.prepare_append(Change::Retire { entry, by })
     }
 
     /// Folds a record of the log that was read at `now`.
@@ -191,48 +197,49 @@
         offset: u64,
         record: &Record,
     ) -> Result<Effect, member::Error> {
-        let known = self.own_zone().is_some();
+        let had_zone = self.own_zone().is_some();
         let effect = self.fold.apply(offset, record)?;
         match &effect {
             Effect::Joined(entry, zone) if *zone == self.zone => {
                 self.round = None;
                 if *entry == self.me {
-                    self.enter(now, known);
+                    self.handle_own_join(now, had_zone);
                 }
             }
             Effect::Departed(entry, zone) if *zone == self.zone => {
                 self.round = None;
-                self.see_departure(now, entry.clone());
+                self.handle_departure(now, entry.clone());
             }
             _ => {}
         }
-        self.settle(record);
-        // A join that changed nothing means that a higher incarnation of this host has joined.
+        self.clear_pending(record);
+        // If its join changed nothing, the same or a higher incarnation of this host has joined before.
         if self.state == State::Outside && self.is_superseded() {
             self.depart();
         }
         Ok(effect)
     }
 
-    /// Takes over a peer's view if it is newer, and tells whether it did.
+    /// Replaces the view by that of a peer if it is newer, and tells whether it did.
     ///
-    /// Entries may have joined, run keys and departed in the records that this entry skips, so its fence against all
-    /// earlier owners rises as if each of them had departed now.
+    /// Entries may have joined, run keys and departed in the records that this entry skips, so the fence for all keys
+    /// rises as if such an entry had departed now.
     pub fn import(&mut self, now: Time, view: View) -> bool {
         if !self.fold.import(view) {
             return false;
         }
         self.round = None;
         let member = self.own_zone().and_then(|zone| zone.member(&self.me));
-        let folded = member.map(|member| member.sequence);
-        let mine = self.pending.is_some() || self.state != State::Outside;
-        if self.is_superseded() || (folded.is_some() && !mine) {
+        let last_folded = member.map(|member| member.sequence);
+        let has_appended_join = self.pending.is_some() || self.state != State::Outside;
+        if self.is_superseded() || (last_folded.is_some() && !has_appended_join) {
             self.depart();
             return true;
         }
-        if let Some(folded) = folded {
-            self.pending.take_if(|record| record.sequence <= folded);
-            self.skip(now);
+        if let Some(last_folded) = last_folded {
+            self.pending
+                .take_if(|record| record.sequence <= last_folded);
+            self.raise_fences(now);
         }
         true
     }
@@ -245,7 +252,7 @@
         matches!(self.state, State::Joining(_) | State::Active(_))
     }
 
-    fn prepare(&mut self, change: Change) -> Result<Record, Error> {
+    fn prepare_append(&mut self, change: Change) -> Result<Record, Error> {
         if self.pending.is_some() {
             return Err(Error::Pending);
         }
@@ -256,8 +263,8 @@
         Ok(record)
     }
 
-    /// Clears the append in flight once it is read back.
-    fn settle(&mut self, record: &Record) {
+    /// Clears the append in flight once its record is read back.
+    fn clear_pending(&mut self, record: &Record) {
         if self
             .pending
             .as_ref()
@@ -267,10 +274,10 @@
         }
     }
 
-    /// Becomes a member by the record that was just folded; `known` tells whether the zone had members before.
-    fn enter(&mut self, now: Time, known: bool) {
-        // A join that this process did not write belongs to an earlier process with the same incarnation, whose runs
-        // this one doesn't remember.
+    /// Makes this entry a member after its join was folded; `had_zone` tells whether the zone ever had members before.
+    fn handle_own_join(&mut self, now: Time, had_zone: bool) {
+        // A join that this process did not append belongs to an earlier process with the same incarnation. This one
+        // doesn't know which keys it ran.
         if self.pending.is_none() {
             self.depart();
             return;
@@ -283,40 +290,40 @@
             .filter(|entry| *entry != self.me)
             .collect();
         let retired = zone.is_some_and(|zone| zone.retired);
-        self.state = if !known {
+        self.state = if !had_zone {
             // No entry of this zone has ever run a key.
             State::Active(Time::MIN)
         } else if others.is_empty() && !retired {
-            // Every earlier member stopped before it appended its leave.
-            State::Active(now + self.limit.margin())
+            // Every earlier member stopped running keys before it appended its leave.
+            State::Active(now + self.limit.fence_margin())
         } else {
             State::Joining(now)
         };
-        self.fence.set_donors(others.into_iter());
+        self.fences.set_predecessors(others.into_iter());
     }
 
-    /// Raises the fence after records were skipped.
-    fn skip(&mut self, now: Time) {
-        self.fence.clear_donors();
+    /// Raises the fence for all keys after records were skipped.
+    fn raise_fences(&mut self, now: Time) {
+        self.fences.clear_predecessors();
         self.state = match self.state {
             State::Outside => State::Joining(now),
             State::Joining(since) => State::Joining(since.max(now)),
-            State::Active(fence) => State::Active(fence.max(now + self.limit.margin())),
+            State::Active(fence) => State::Active(fence.max(now + self.limit.fence_margin())),
             State::Departed => State::Departed,
         };
     }
 
     /// Tells whether the view shows that this incarnation joined and departed, or can no longer join.
     fn is_superseded(&self) -> bool {
-        let joined = self.view().hosts.get(&self.me.host);
-        let used = joined.is_some_and(|host| host.incarnation >= self.me.incarnation);
-        let member = self
+        let last_join = self.view().hosts.get(&self.me.host);
+        let is_used = last_join.is_some_and(|host| host.incarnation >= self.me.incarnation);
+        let is_listed = self
             .own_zone()
             .is_some_and(|zone| zone.member(&self.me).is_some());
-        !member && (used || self.is_member())
+        !is_listed && (is_used || self.is_member())
     }
 
-    fn see_departure(&mut self, now: Time, entry: Entry) {
+    fn handle_departure(&mut self, now: Time, entry: Entry) {
         if entry == self.me {
             self.successors = self.own_zone().cloned();
             self.depart();
@@ -325,19 +332,19 @@
         if !self.is_member() {
             return;
         }
-        let fence = now + self.limit.margin();
-        self.fence.push(entry, fence);
+        let fence = now + self.limit.fence_margin();
+        self.fences.add_departure(entry, fence);
         let zone = self.own_zone();
-        let last = zone.is_some_and(|zone| zone.members.len() == 1 && !zone.retired);
-        // Every earlier member stopped before it appended its leave, so no witness is needed any more.
-        if last && matches!(self.state, State::Joining(_)) {
+        let is_last = zone.is_some_and(|zone| zone.members.len() == 1 && !zone.retired);
+        // Every earlier member stopped running keys before it appended its leave, so no acknowledgement is needed.
+        if is_last && matches!(self.state, State::Joining(_)) {
             self.state = State::Active(fence);
         }
     }
 
     fn depart(&mut self) {
         if let State::Active(fence) = self.state {
-            self.last_base = fence;
+            self.last_join_fence = fence;
         }
         self.state = State::Departed;
         self.frozen = true;
--- a/crates/claim/src/lease/message.rs
+++ b/crates/claim/src/lease/message.rs
@@ -1,9 +1,9 @@
-//! Messages between the entries of a zone.
+//! Lease messages between the entries of a zone.
 
 use crate::member::Entry;
 use sassafrascrank_base::prelude::Time;
 
-/// Asks one peer to confirm the view of the sender.
+/// Request to one peer to confirm the membership view of the sender.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Request {
     /// The process that asks.
@@ -12,27 +12,29 @@
     pub to: Entry,
     /// Offset of the last record that changed the zone in the sender's view.
     pub revision: u64,
-    /// When the sender started, by its own clock.
+    /// When the sender started this confirmation, by its own clock.
     pub start: Time,
 }
 
-/// What a peer says to a [`Request`].
+/// Answer of a peer to a [`Request`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
     /// The process that answers.
     pub from: Entry,
-    /// Revision of the request.
+    /// Revision that the request named.
     pub revision: u64,
-    /// Start of the request.
+    /// Start time that the request named.
     pub start: Time,
     /// Whether the peer holds the same view and has no membership append in flight.
     pub agrees: bool,
 }
 
-/// An active member's word that it has read the join of an entry.
+/// Acknowledgement by an active member that it has read the join of an entry.
+///
+/// From then on, the active member starts no key that the new entry owns.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct JoinAck {
-    /// The active member.
+    /// The active member that acknowledges.
     pub from: Entry,
     /// The entry that joined.
     pub to: Entry,
--- a/crates/claim/src/lease/mod.rs
+++ b/crates/claim/src/lease/mod.rs
@@ -1,4 +1,7 @@
-//! When an entry may run a key for the first time: horizon, fences, and their confirmation.
+//! Rules on when an entry may run a key for the first time.
+//!
+//! A key carries its creation time. An entry runs a key only if it was created after the fence, up to which an earlier
+//! owner may have run it, and not after the horizon, up to which the entry's view of the membership is confirmed.
 
 mod confirm;
 mod fence;
--- a/crates/claim/src/lease/round.rs
+++ b/crates/claim/src/lease/round.rs
@@ -1,4 +1,4 @@
-//! One attempt to confirm the view through the peers.
+//! One round of requests that ask all peers to confirm the view.
 
 use super::Answer;
 use crate::member::Entry;
@@ -8,15 +8,16 @@
 pub(super) struct Round {
     revision: u64,
     start: Time,
-    waiting: Vec<Entry>,
+    /// Peers that have not confirmed the view yet.
+    unconfirmed: Vec<Entry>,
 }
 
 impl Round {
-    pub(super) const fn new(revision: u64, start: Time, waiting: Vec<Entry>) -> Self {
+    pub(super) const fn new(revision: u64, start: Time, peers: Vec<Entry>) -> Self {
         Self {
             revision,
             start,
-            waiting,
+            unconfirmed: peers,
         }
     }
 
@@ -24,14 +25,14 @@
         self.start
     }
 
-    pub(super) const fn is_unanimous(&self) -> bool {
-        self.waiting.is_empty()
+    pub(super) const fn is_complete(&self) -> bool {
+        self.unconfirmed.is_empty()
     }
 
-    /// Counts an answer; answers to an earlier round don't match.
+    /// Records an answer; a rejection and an answer to an earlier round have no effect.
     pub(super) fn record_answer(&mut self, answer: &Answer) {
         if answer.agrees && answer.revision == self.revision && answer.start == self.start {
-            self.waiting.retain(|entry| *entry != answer.from);
+            self.unconfirmed.retain(|entry| *entry != answer.from);
         }
     }
 }
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,7 +1,10 @@
-//! At-most-once execution of keyed requests.
+//! At-most-once execution of requests that carry an idempotency key.
 //!
-//! The log of membership records decides which entry of a zone owns a key. A lease bounds the creation times of the
-//! keys that an owner may run, and a table remembers what became of them.
+//! An entry is a process that accepts requests from callers and dispatches them to upstreams. The entries of an
+//! availability zone append their joins and leaves to the stream `member` of the log, and all of them compute the owner
+//! of a key from that membership by rendezvous hashing. A lease bounds the creation times of the keys that an owner may
+//! run, so that two entries with different views never run the same key. A table keeps the state and the answer of each
+//! request for a retention time.
 
 pub mod key;
 pub mod lease;
--- a/crates/claim/src/member/entry.rs
+++ b/crates/claim/src/member/entry.rs
@@ -9,28 +9,30 @@
     prelude::Name, //
 };
 
-/// One life of an entry process.
+/// Identity of one run of an entry process.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Entry {
     /// Host on which the process runs.
     pub host: Name,
-    /// Number that grows with each start on that host.
+    /// Number that is higher after each start on that host, from 1.
     pub incarnation: u64,
 }
 
 /// An entry that has joined and has not departed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Which process it is.
+    /// The process.
     pub entry: Entry,
     /// Where it listens for callers.
     pub address: SocketAddr,
-    /// Highest sequence number that was folded from this writer.
+    /// Highest sequence number of the folded records that this member wrote.
     pub sequence: u64,
 }
 
 impl Entry {
-    /// Returns the rendezvous score of this entry for the hash of a key; the highest score owns the key.
+    /// Returns the rendezvous score of this entry for the hash of a key.
+    ///
+    /// The member with the highest score owns the key.
     pub fn score(&self, hash: u64) -> u64 {
         mix(hash ^ mix(hash::text(self.host.as_str()) ^ mix(self.incarnation)))
     }
--- a/crates/claim/src/member/fold.rs
+++ b/crates/claim/src/member/fold.rs
@@ -11,7 +11,7 @@
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::Name;
 
-/// Folds records into a [`View`]; all readers of the same records reach the same view.
+/// Folds records into a [`View`]; all readers of the same records get the same view.
 #[derive(Clone, Debug, Default)]
 pub struct Fold {
     view: View,
@@ -24,27 +24,27 @@
     Joined(Entry, Name),
     /// An entry is no longer a member of the zone.
     Departed(Entry, Name),
-    /// Nothing: the writer's record was folded before.
+    /// Nothing: the record is a repeat of one that was folded before.
     Repeat,
     /// Nothing: the record is not valid in the view at its offset.
     Ignored,
 }
 
-/// The records before this one are missing.
+/// Records before this one are missing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error(
-    "the record at offset {offset} does not follow offset {have}: read from there or import a newer view"
+    "the record at offset {offset} does not follow offset {last}: read from there or import a newer view"
 )]
 pub struct Error {
     /// Offset of the last folded record.
-    pub have: u64,
+    pub last: u64,
     /// Offset of the rejected record.
     pub offset: u64,
 }
 
 impl Fold {
-    /// Returns the present view; a clone of it is a snapshot.
+    /// Returns the current view; a clone of it is a snapshot.
     pub const fn view(&self) -> &View {
         &self.view
     }
@@ -53,14 +53,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if `offset` leaves a gap; a record that lies behind the view is a repeat.
+    /// Fails if records before `offset` are missing. A record at or before the offset of the view is a repeat.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Result<Effect, Error> {
-        let have = self.view.offset;
-        if offset <= have {
+        let last = self.view.offset;
+        if offset <= last {
             return Ok(Effect::Repeat);
         }
-        if offset != have + 1 {
-            return Err(Error { have, offset });
+        if offset != last + 1 {
+            return Err(Error { last, offset });
         }
         self.view.offset = offset;
         if let Change::Join {
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Takes over a snapshot if it is newer, and tells whether it did.
+    /// Replaces the view by a snapshot if it is newer, and tells whether it did.
     pub fn import(&mut self, view: View) -> bool {
         if view.offset <= self.view.offset {
             return false;
@@ -95,13 +95,13 @@
 
     fn join(&mut self, sequence: u64, entry: &Entry, zone: &Name, address: SocketAddr) -> Effect {
         let offset = self.view.offset;
-        let last = self
+        let last_incarnation = self
             .view
             .hosts
             .get(&entry.host)
             .map_or(0, |host| host.incarnation);
-        // An incarnation joins once: a late repeat must not bring back an entry that departed.
-        if entry.incarnation <= last {
+        // An incarnation joins once: a late repeat must not make a departed entry a member again.
+        if entry.incarnation <= last_incarnation {
             return Effect::Repeat;
         }
         let incarnation = entry.incarnation;
@@ -112,14 +112,14 @@
                 offset,
             },
         );
-        let state = self.view.zones.entry(zone.clone()).or_default();
-        state.revision = offset;
-        state.members.push(Member {
+        let joined = self.view.zones.entry(zone.clone()).or_default();
+        joined.revision = offset;
+        joined.members.push(Member {
             entry: entry.clone(),
             address,
             sequence,
         });
-        self.view.forget_hosts();
+        self.view.limit_hosts();
         Effect::Joined(entry.clone(), zone.clone())
     }
 
@@ -130,6 +130,7 @@
         self.depart(entry, true)
     }
 
+    /// Removes a member from its zone; `retired` tells whether another member asked for it.
     fn depart(&mut self, entry: &Entry, retired: bool) -> Effect {
         let Some(name) = self.view.zone_of(entry).cloned() else {
             return Effect::Ignored;
--- a/crates/claim/src/member/mod.rs
+++ b/crates/claim/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of entries by zone, folded from the log's stream `member`.
+//! Membership of entries by zone, derived from the records of the log's stream `member`.
 
 mod entry;
 mod fold;
--- a/crates/claim/src/member/record.rs
+++ b/crates/claim/src/member/record.rs
@@ -6,13 +6,13 @@
 
 /// One record with the sequence number of its writer.
 ///
-/// A writer that repeats an append after a lost response keeps the sequence number, so that readers ignore the
+/// A writer that repeats an append after a lost response keeps the sequence number, so that readers can ignore the
 /// repeat.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
     /// Position among the records of this writer, from 1.
     pub sequence: u64,
-    /// What the record says.
+    /// The change that the record makes.
     pub change: Change,
 }
 
--- a/crates/claim/src/member/view.rs
+++ b/crates/claim/src/member/view.rs
@@ -1,4 +1,4 @@
-//! The state of the stream `member` at one offset.
+//! Membership at one offset of the stream `member`.
 
 use super::{
     Entry,
@@ -8,13 +8,13 @@
 use sassafrascrank_base::prelude::Name;
 use std::collections::BTreeMap;
 
-/// Number of hosts whose last incarnation is remembered; the host that joined the longest ago is forgotten first.
+/// Number of hosts whose last incarnation is kept; beyond it, the host that joined the longest ago is removed.
 ///
 /// At 170 restarts a day, each on a host with a new name, this covers more than three weeks. A host whose entry is a
-/// member is not forgotten.
+/// member is never removed.
 pub const HOST_LIMIT: usize = 4_096;
 
-/// Members by zone at one offset; it is also the value of a snapshot.
+/// Members by zone at one offset; snapshots store this value.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct View {
     /// Offset of the last folded record, 0 for none.
@@ -30,13 +30,13 @@
 pub struct Zone {
     /// Offset of the last record that changed this zone.
     pub revision: u64,
-    /// Whether a member was ever retired; such a member may be running without knowing it.
+    /// Whether a member was ever retired; it may still run keys until it reads its retirement.
     pub retired: bool,
     /// Members in the order of their joins.
     pub members: Vec<Member>,
 }
 
-/// What is remembered of a host.
+/// Last join of an entry on a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Host {
     /// Highest incarnation that joined.
@@ -69,7 +69,8 @@
         members.find(|member| member.entry == *entry)
     }
 
-    pub(super) fn forget_hosts(&mut self) {
+    /// Removes the host that joined the longest ago if there are more than [`HOST_LIMIT`].
+    pub(super) fn limit_hosts(&mut self) {
         if self.hosts.len() <= HOST_LIMIT {
             return;
         }
--- a/crates/claim/src/table/handover.rs
+++ b/crates/claim/src/table/handover.rs
@@ -1,4 +1,4 @@
-//! Handover of outcomes to the entries to which keys moved.
+//! Handover of requests to the entries that now own their keys.
 
 use super::{
     Fingerprint,
@@ -14,9 +14,9 @@
 };
 use sassafrascrank_base::prelude::Time;
 
-/// Everything that an entry remembers of the keys that moved from it to one other entry.
+/// All requests in the table of one entry whose keys moved to one other entry.
 ///
-/// It is one message: a part of it must not be accepted. Losing it or receiving it twice does no harm.
+/// It must be accepted as a whole or not at all. Losing it or receiving it twice does no harm.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Handover<A> {
     /// The process that hands over.
@@ -25,28 +25,29 @@
     pub to: Entry,
     /// Whether the keys moved by the departure of the sender; otherwise by the join of the receiver.
     pub departed: bool,
-    /// Each moved key that was created later and is not among the items never ran at or before the sender.
+    /// A moved key that was created after this time and is not among the items has never run, neither at the sender
+    /// nor at an earlier owner.
     pub floor: Time,
-    /// Remembered requests, sorted by key.
+    /// Requests, sorted by key.
     pub items: Vec<Item<A>>,
 }
 
-/// One remembered request.
+/// One request of a handover.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item<A> {
     /// Key of the request.
     pub id: Id,
     /// Digest of customer and request.
     pub fingerprint: Fingerprint,
-    /// What became of it; a request that was still running is [`RequestState::Lost`].
+    /// Its state; a request that was still running at the sender is [`RequestState::Lost`].
     pub state: RequestState<A>,
 }
 
-/// The handover was not accepted; the fence against the sender stays.
+/// Why a handover was not accepted; the fence against the sender stays.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// It is meant for another process.
+    /// The handover is meant for another process.
     #[error(
         "the handover is meant for another entry or incarnation: read the log and send it to a member"
     )]
@@ -56,7 +57,7 @@
         "the record that moved the keys is not in this view: send the handover again in a second"
     )]
     Unread,
-    /// The items don't fit.
+    /// The items don't fit into the table.
     #[error(
         "the table has no room for the handover: raise its bounds, or send it again after some minutes"
     )]
@@ -64,37 +65,40 @@
 }
 
 impl<A: Size + Clone> Table<A> {
-    /// Exports what `to` needs: after the departure of this entry its successors, before it a member that joined.
+    /// Creates the handover to `to`.
     ///
-    /// Returns nothing if this entry owes `to` nothing. The table and the lease must belong to the same entry, and
-    /// no request may begin between a call of [`Lease::apply`] and this one under an earlier decision of the lease.
+    /// While this entry is a member, `to` is a member that joined later; after its departure, `to` is one of its
+    /// successors. Returns nothing if this entry has to hand over nothing to `to`. The table and the lease must belong
+    /// to the same entry. Between a call of [`Lease::apply`] and this one, no request may begin on an earlier decision
+    /// of the lease.
     pub fn export(&self, lease: &Lease, to: &Entry) -> Option<Handover<A>> {
         if to == lease.me() {
             return None;
         }
-        let moves = lease.moves(to)?;
+        let is_moving = lease.keys_moving_to(to)?;
         let records = self
             .records
             .values()
-            .filter(|record| moves(record.id.hash()));
+            .filter(|record| is_moving(record.id.hash()));
         let mut items: Vec<Item<A>> = records.map(Item::from).collect();
         items.sort_by_key(|item| item.id);
         Some(Handover {
             from: lease.me().clone(),
             to: to.clone(),
             departed: lease.is_departed(),
-            floor: lease.floor().max(self.forgotten()),
+            floor: lease.highest_fence().max(self.expired_before()),
             items,
         })
     }
 
-    /// Takes over a handover as a whole, and then lowers the fence against its sender.
+    /// Adds all requests of a handover to the table, and then lowers the fence against its sender.
     ///
-    /// Returns the number of requests that were not known.
+    /// Returns the number of requests that were not in the table.
     ///
     /// # Errors
     ///
-    /// Fails without any change; the sender may try again.
+    /// Fails if the handover is meant for another process, if the record that moved the keys has not been read, or if
+    /// the table has no room. The table and the fence stay as they were, and the sender may try again.
     pub fn accept(
         &mut self,
         now: Time,
@@ -104,34 +108,36 @@
         if handover.to != *lease.me() {
             return Err(Error::Target);
         }
-        if !lease.expects(&handover.from, handover.departed) {
+        if !lease.expects_handover(&handover.from, handover.departed) {
             return Err(Error::Unread);
         }
         self.expire(now);
-        let forgotten = self.forgotten();
+        let expired_before = self.expired_before();
         let (mut count, mut bytes) = (0, 0);
         for item in handover
             .items
             .iter()
-            .filter(|item| item.id.created() >= forgotten)
+            .filter(|item| item.id.created() >= expired_before)
         {
             count += usize::from(!self.contains(item.id));
             bytes += item.size();
         }
-        if self.records.len() + count > self.limit.count || self.bytes + bytes > self.limit.bytes {
+        if self.records.len() + count > self.limit.requests
+            || self.bytes + bytes > self.limit.total_bytes
+        {
             return Err(Error::Full);
         }
         for item in handover.items {
-            if item.id.created() >= forgotten {
-                self.take(item);
+            if item.id.created() >= expired_before {
+                self.merge(item);
             }
         }
-        lease.lower(&handover.from, handover.departed, handover.floor);
+        lease.lower_fence(&handover.from, handover.departed, handover.floor);
         Ok(count)
     }
 
     /// Adds one item, or replaces an unknown outcome by a known one.
-    fn take(&mut self, item: Item<A>) {
+    fn merge(&mut self, item: Item<A>) {
         let size = item.size();
         let Item {
             id,
@@ -152,7 +158,7 @@
             state,
         });
         self.bytes += size;
-        self.keep(slot, id);
+        self.schedule_expiry(slot, id);
     }
 }
 
--- a/crates/claim/src/table/mod.rs
+++ b/crates/claim/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! Memory of keyed requests and their outcomes.
+//! Table of keyed requests with their states and answers.
 
 mod handover;
 mod limit;
@@ -11,7 +11,7 @@
     Item, //
 };
 pub use limit::{
-    Count,
+    Counters,
     Limit, //
 };
 pub use state::{
--- a/crates/claim/src/table/state.rs
+++ b/crates/claim/src/table/state.rs
@@ -1,4 +1,4 @@
-//! What the table knows of one keyed request.
+//! State of one keyed request, and the decision on a further request with the same key.
 
 use sassafrascrank_base::prelude::{
     Refusal,
@@ -6,41 +6,41 @@
 };
 
 slotmap::new_key_type! {
-    /// Identifies a keyed request within one table; a stale one finds nothing.
+    /// Key of a request in the arena of one table; after the request is dropped, it finds nothing.
     pub struct Slot;
 }
 
-/// Digest of the customer and the whole request, computed by the caller of this crate.
+/// Digest of the customer and the whole request, computed by the user of this crate.
 ///
-/// It must come from a cryptographic hash, since a collision would hand out another request's answer.
+/// It must come from a cryptographic hash, since a collision would return the answer of another request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(pub u128);
 
-/// An answer whose size is known.
+/// An answer whose size counts against the bounds of the table.
 pub trait Size {
-    /// Returns the number of bytes that the answer holds.
+    /// Returns the size of the answer in bytes.
     fn size(&self) -> usize;
 }
 
-/// What became of a keyed request.
+/// State of a keyed request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestState<A> {
-    /// The attempt runs under the ticket.
+    /// It is running under the ticket.
     Running(ticket::Key),
-    /// An upstream answered.
+    /// An upstream answered; the answer is stored.
     Answered(A),
-    /// An upstream answered with a body that is too large to keep.
+    /// An upstream answered; the answer was too large to be stored.
     Dropped,
-    /// The attempt may have run; its outcome is not known.
+    /// It may have run; its outcome is unknown.
     Lost,
 }
 
-/// What to do with a keyed request.
+/// Decision on a keyed request that arrives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Run it and report its end under the slot.
+    /// Run it and report its end for the slot.
     Run(Slot),
-    /// Wait for the running attempt.
+    /// Wait for the request with the same key that is running under the ticket.
     Wait(ticket::Key),
     /// Return the stored answer.
     Replay(Slot),
--- a/crates/claim/src/table/table.rs
+++ b/crates/claim/src/table/table.rs
@@ -1,8 +1,8 @@
-//! The bounded table of keyed requests of one entry.
+//! Bounded table of the keyed requests of one entry.
 
 use super::{
     Admission,
-    Count,
+    Counters,
     Fingerprint,
     Limit,
     RequestState,
@@ -31,61 +31,62 @@
     pub(super) state: RequestState<A>,
 }
 
-/// Keyed requests of one home zone and their outcomes; nothing is evicted before its time.
+/// Keyed requests of one home zone with their states; none is dropped before its retention is over.
 #[derive(Clone, Debug)]
 pub struct Table<A> {
     pub(super) limit: Limit,
     pub(super) records: SlotMap<Slot, Record<A>>,
+    /// Requests by key.
     pub(super) index: HashMap<Id, Slot>,
-    /// Finished requests by the time at which they are dropped.
-    pub(super) ends: BinaryHeap<Reverse<(Time, Slot)>>,
-    /// Stored bytes and the reservations of running requests.
+    /// Finished requests by the end of their retention.
+    pub(super) expirations: BinaryHeap<Reverse<(Time, Slot)>>,
+    /// Bytes of the stored answers and the reservations of running requests.
     pub(super) bytes: usize,
-    /// Latest present time that was seen, so that a clock that steps back brings no dropped key to life.
+    /// Latest time that was passed in, so that a dropped key does not run again after the clock has stepped back.
     pub(super) latest: Time,
-    count: Count,
+    counters: Counters,
 }
 
 impl<A: Size> Table<A> {
-    /// Makes an empty table with all its room.
+    /// Creates an empty table and allocates all its memory.
     pub fn new(limit: Limit) -> Self {
         Self {
             limit,
-            records: SlotMap::with_capacity_and_key(limit.count),
-            index: HashMap::with_capacity(limit.count),
-            ends: BinaryHeap::with_capacity(limit.count),
+            records: SlotMap::with_capacity_and_key(limit.requests),
+            index: HashMap::with_capacity(limit.requests),
+            expirations: BinaryHeap::with_capacity(limit.requests),
             bytes: 0,
             latest: Time::MIN,
-            count: Count::default(),
+            counters: Counters::default(),
         }
     }
 
-    /// Returns the number of remembered requests.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Tells whether the table has no request.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the stored bytes and the reservations of running requests.
+    /// Returns the bytes of the stored answers and of the reservations of running requests.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
     /// Returns the counters.
-    pub const fn count(&self) -> Count {
-        self.count
+    pub const fn counters(&self) -> Counters {
+        self.counters
     }
 
-    /// Tells whether the key is remembered, so that this entry answers it even if another one owns it now.
+    /// Tells whether the key is in the table; this entry then answers it, even if another one owns it now.
     pub fn contains(&self, id: Id) -> bool {
         self.index.contains_key(&id)
     }
 
-    /// Returns a stored answer.
+    /// Returns the stored answer of a request, if there is one.
     pub fn answer(&self, slot: Slot) -> Option<&A> {
         match &self.records.get(slot)?.state {
             RequestState::Answered(answer) => Some(answer),
@@ -95,8 +96,8 @@
 
     /// Decides on a keyed request.
     ///
-    /// `ticket` is given to repeats if the request runs. `permit` is asked only for a key that is not remembered; see
-    /// [`Lease::permit`](crate::lease::Lease::permit).
+    /// If the request may run, requests that repeat it will wait for `ticket`. `permit` is called only for a key that
+    /// is not in the table; see [`Lease::permit`](crate::lease::Lease::permit).
     pub fn begin(
         &mut self,
         now: Time,
@@ -107,24 +108,24 @@
     ) -> Admission {
         self.expire(now);
         if let Some(&slot) = self.index.get(&id) {
-            return self.repeat(slot, fingerprint);
+            return self.admit_repeat(slot, fingerprint);
         }
-        if id.created() < self.forgotten() {
+        if id.created() < self.expired_before() {
             return Admission::Refuse(Refusal::unknown(Reason::KeyExpired));
         }
         if let Err(refusal) = permit() {
             return Admission::Refuse(refusal);
         }
-        if self.records.len() >= self.limit.count
-            || self.bytes + self.limit.answer > self.limit.bytes
+        if self.records.len() >= self.limit.requests
+            || self.bytes + self.limit.answer_bytes > self.limit.total_bytes
         {
-            self.count.full += 1;
+            self.counters.full += 1;
             let mut refusal = Refusal::not_run(Reason::KeyTableFull);
-            refusal.retry_after = self.room_in();
+            refusal.retry_after = self.next_expiry();
             return Admission::Refuse(refusal);
         }
-        self.bytes += self.limit.answer;
-        self.count.run += 1;
+        self.bytes += self.limit.answer_bytes;
+        self.counters.run += 1;
         let state = RequestState::Running(ticket);
         Admission::Run(self.insert(Record {
             id,
@@ -133,57 +134,57 @@
         }))
     }
 
-    /// Stores the answer of a running request; returns whether there is one under the slot.
+    /// Stores the answer of a running request; tells whether the slot holds one.
     pub fn finish(&mut self, now: Time, slot: Slot, answer: A) -> bool {
         let size = answer.size();
-        let kept = size <= self.limit.answer;
-        let state = if kept {
+        let fits = size <= self.limit.answer_bytes;
+        let state = if fits {
             RequestState::Answered(answer)
         } else {
             RequestState::Dropped
         };
-        self.end(now, slot, state, if kept { size } else { 0 })
+        self.end_attempt(now, slot, state, if fits { size } else { 0 })
     }
 
-    /// Records that the outcome of a running request is not known; returns whether there is one under the slot.
+    /// Records that the outcome of a running request is unknown; tells whether the slot holds one.
     pub fn lost(&mut self, now: Time, slot: Slot) -> bool {
-        self.end(now, slot, RequestState::Lost, 0)
+        self.end_attempt(now, slot, RequestState::Lost, 0)
     }
 
-    /// Forgets a running request that certainly did not run, so that its key may run again; returns whether there is
-    /// one under the slot.
+    /// Removes a request that certainly did not run, so that its key may run again; tells whether the slot holds a
+    /// running request.
     pub fn not_run(&mut self, slot: Slot) -> bool {
         if !self.is_running(slot) {
             return false;
         }
         if let Some(record) = self.records.remove(slot) {
             self.index.remove(&record.id);
-            self.bytes -= self.limit.answer;
+            self.bytes -= self.limit.answer_bytes;
         }
         true
     }
 
-    /// Drops the outcomes whose retention is over.
+    /// Drops the requests whose retention is over.
     pub fn expire(&mut self, now: Time) {
         self.latest = self.latest.max(now);
-        while let Some(&Reverse((end, slot))) = self.ends.peek() {
+        while let Some(&Reverse((end, slot))) = self.expirations.peek() {
             if end >= self.latest {
                 return;
             }
-            self.ends.pop();
+            self.expirations.pop();
             let Some(record) = self.records.remove(slot) else {
                 continue;
             };
             self.index.remove(&record.id);
-            self.count.expired += 1;
+            self.counters.expired += 1;
             if let RequestState::Answered(answer) = &record.state {
                 self.bytes -= answer.size();
             }
         }
     }
 
-    /// Returns the creation time before which keys may have been forgotten.
-    pub(super) fn forgotten(&self) -> Time {
+    /// Returns the creation time before which keys may have been dropped from the table.
+    pub(super) fn expired_before(&self) -> Time {
         self.latest - self.limit.retention
     }
 
@@ -196,28 +197,29 @@
 
     /// Keeps a finished request for the retention after its end and after its creation.
     ///
-    /// A key may be created up to the horizon ahead of the present, and must stay remembered until it is refused for
-    /// its age.
-    pub(super) fn keep(&mut self, slot: Slot, id: Id) {
+    /// The creation time of a key may lie ahead of the clock, up to the horizon. The key must stay in the table until
+    /// it is old enough to be refused.
+    pub(super) fn schedule_expiry(&mut self, slot: Slot, id: Id) {
         let end = self.latest.max(id.created()) + self.limit.retention;
-        self.ends.push(Reverse((end, slot)));
+        self.expirations.push(Reverse((end, slot)));
     }
 
-    fn repeat(&mut self, slot: Slot, fingerprint: Fingerprint) -> Admission {
+    /// Decides on a request whose key is in the table.
+    fn admit_repeat(&mut self, slot: Slot, fingerprint: Fingerprint) -> Admission {
         let record = &self.records[slot];
-        // The refusal is the same whatever became of the first request, since it may be another customer's. This
-        // request did not run: the key ran at most once, for the other fingerprint.
+        // The refusal does not depend on the state of the first request, which may be another customer's. "Not run" is
+        // true of this request: if the key ran, it ran for the other fingerprint.
         if record.fingerprint != fingerprint {
-            self.count.conflict += 1;
+            self.counters.conflict += 1;
             return Admission::Refuse(Refusal::not_run(Reason::KeyConflict));
         }
         match record.state {
             RequestState::Running(ticket) => {
-                self.count.wait += 1;
+                self.counters.wait += 1;
                 Admission::Wait(ticket)
             }
             RequestState::Answered(_) => {
-                self.count.replay += 1;
+                self.counters.replay += 1;
                 Admission::Replay(slot)
             }
             RequestState::Dropped => Admission::Refuse(Refusal {
@@ -234,7 +236,7 @@
         record.is_some_and(|record| matches!(record.state, RequestState::Running(_)))
     }
 
-    fn end(&mut self, now: Time, slot: Slot, state: RequestState<A>, size: usize) -> bool {
+    fn end_attempt(&mut self, now: Time, slot: Slot, state: RequestState<A>, size: usize) -> bool {
         if !self.is_running(slot) {
             return false;
         }
@@ -242,14 +244,14 @@
         let record = &mut self.records[slot];
         record.state = state;
         let id = record.id;
-        self.bytes = self.bytes - self.limit.answer + size;
-        self.keep(slot, id);
+        self.bytes = self.bytes - self.limit.answer_bytes + size;
+        self.schedule_expiry(slot, id);
         true
     }
 
-    /// Returns how long it takes until the next outcome is dropped, if one is waiting for that.
-    fn room_in(&self) -> Option<core::time::Duration> {
-        self.ends
+    /// Returns how long it takes until the next finished request is dropped, if there is one.
+    fn next_expiry(&self) -> Option<core::time::Duration> {
+        self.expirations
             .peek()
             .map(|Reverse((end, _))| end.since(self.latest))
     }
--- a/crates/claim/tests/cost.rs
+++ b/crates/claim/tests/cost.rs
@@ -1,4 +1,8 @@
-//! Log appends and service during a log outage, for the three ways of section 5.2 of the design.
+//! Log appends, and service during a log outage, of three ways to let only one entry run a key.
+//!
+//! - Claim per request: an entry appends a claim to the log for each request, many claims in one append.
+//! - Slices: the log names the owner of each slice of the key space.
+//! - Membership: the log names only the members of a zone; this crate implements it.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::{
@@ -9,11 +13,13 @@
 use std::fmt::Write;
 
 const ENTRIES: usize = 8;
+/// Keyed requests a second.
 const RATE: u64 = 1_000;
-/// Claims that fit into one append of the first way.
+/// Claims in one append, with a claim per request.
 const BATCH: u64 = 100;
-/// Slices of the second way.
+/// Slices of the key space.
 const SLICES: u64 = 256;
+/// Seconds of an hour.
 const HOUR: u64 = 3_600;
 /// Entries that stop and start again in an hour: 170 a day.
 const RESTARTS: u64 = 7;
@@ -22,7 +28,7 @@
     Time::from_millis((1_000_000 + seconds) * 1_000)
 }
 
-/// A zone of the chosen way whose members joined and read the log until second 30.
+/// Returns the members of a zone that have confirmed the log by second 30, and the log.
 fn zone() -> (Vec<Lease>, Vec<Record>) {
     let (zone, mut log) = (Name::new("suva").unwrap(), Vec::new());
     let lease = |index: usize| {
@@ -42,8 +48,8 @@
             }
         }
         let me = leases[index].me().clone();
-        if let Some(witness) = leases[0].acknowledge_join(&me) {
-            leases[index].accept_join_ack(at(0), &witness);
+        if let Some(ack) = leases[0].acknowledge_join(&me) {
+            leases[index].accept_join_ack(at(0), &ack);
         }
     }
     assert!(
@@ -57,8 +63,9 @@
     (leases, log)
 }
 
-/// Returns how many of 10 keys per second can run in an outage from second 30, in percent; each second the entries
-/// that live confirm each other.
+/// Returns the percentage of keys, 10 a second, that can run during a log outage from second 30 on.
+///
+/// The live entries confirm each other each second. With `lost`, entry 0 ends that many seconds into the outage.
 fn served(outage: u64, lost: Option<u64>) -> u64 {
     let (mut leases, _) = zone();
     let (mut served, mut asked) = (0, 0);
@@ -89,13 +96,13 @@
     served * 100 / asked
 }
 
-/// Guards against a protocol that appends for each request or stops with the log.
+/// Guards against a protocol that appends to the log for each request, or serves nothing without the log.
 #[test]
-fn the_chosen_way_appends_least_and_serves_through_an_outage() {
+fn membership_appends_least_and_serves_through_an_outage() {
     let requests = RATE * HOUR;
     let per_million = |appends: u64| appends as f64 * 1e6 / requests as f64;
     let mut out = String::from("way                 appends/h  per million requests");
-    // A stop and a start of the second way write one record for each slice that moves.
+    // With slices, each stop and each start of an entry appends one record for each slice that moves.
     let slices = SLICES + RESTARTS * 2 * SLICES / ENTRIES as u64;
     let (_, log) = zone();
     let joined = log.len() as u64 + RESTARTS * 2;
--- a/crates/claim/tests/faults.rs
+++ b/crates/claim/tests/faults.rs
@@ -1,26 +1,27 @@
-//! Seeded fault schedules; they guard against second runs, false "not run" and callers without an answer.
+//! Schedules with faults drawn from seeds.
 
-mod world;
+mod simulation;
 
+use simulation::{
+    Fault,
+    Simulation,
+    Tally, //
+};
 use std::{
     fmt::Write,
     thread, //
 };
-use world::{
-    Fault,
-    Tally,
-    World, //
-};
 
 const SEEDS: u64 = 1_000;
 const THREADS: u64 = 8;
 
+/// Runs the schedules of one fault for all seeds below `seeds`; without `fenced`, the fences are ignored.
 fn tally(fault: Fault, seeds: u64, fenced: bool) -> Tally {
     let part = |first: u64| {
         let mut sum = Tally::default();
         (first..seeds)
             .step_by(THREADS as usize)
-            .for_each(|seed| sum += World::run(seed, fault, fenced));
+            .for_each(|seed| sum += Simulation::run(seed, fault, fenced));
         sum
     };
     let mut sum = Tally::default();
@@ -35,31 +36,32 @@
     sum
 }
 
+/// Guards against keys that run twice, "not run" for a request that may have run, and callers without an answer.
 #[test]
-fn no_schedule_runs_a_key_twice_or_lies_to_a_caller() {
+fn no_schedule_runs_a_key_twice_or_misreports_an_outcome() {
     let mut table = format!("{:<9}", "fault");
     Tally::HEAD
         .iter()
         .for_each(|head| write!(table, "{head:>13}").unwrap());
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for fault in Fault::ALL {
         let sum = tally(fault, SEEDS, true);
         write!(table, "\n{:<9}", format!("{fault:?}")).unwrap();
         sum.row()
             .iter()
             .for_each(|count| write!(table, "{count:>13}").unwrap());
-        broken.extend(sum.broken);
+        violations.extend(sum.violations);
     }
     assert!(
-        broken.is_empty(),
-        "{} broken, first {:?}",
-        broken.len(),
-        &broken[..broken.len().min(8)]
+        violations.is_empty(),
+        "{} violations, first {:?}",
+        violations.len(),
+        &violations[..violations.len().min(8)]
     );
     insta::assert_snapshot!(table);
 }
 
-/// Guards against schedules that could not find a second run if there was one.
+/// Guards against schedules that could not find a second run even if the protocol allowed one.
 #[test]
 fn schedules_without_fences_find_second_runs() {
     let mut found = String::new();
@@ -72,7 +74,7 @@
     ] {
         let sum = tally(fault, 100, false);
         let twice = sum
-            .broken
+            .violations
             .iter()
             .filter(|text| text.starts_with("at-most-once"))
             .count();
@@ -82,11 +84,13 @@
     insta::assert_snapshot!(found);
 }
 
-/// Guards against schedules that end while all messages of a caller were lost, found in a trial with more seeds.
+/// Guards against schedules that end before each caller has an answer.
+///
+/// With these seeds, all messages to a caller were lost before the regular end of the schedule.
 #[test]
 fn schedules_go_on_until_each_caller_has_an_answer() {
     for seed in [3_874, 7_163] {
-        let broken = World::run(seed, Fault::Mixed, true).broken;
-        assert!(broken.is_empty(), "{broken:?}");
+        let violations = Simulation::run(seed, Fault::Mixed, true).violations;
+        assert!(violations.is_empty(), "{violations:?}");
     }
 }
--- a/crates/claim/tests/interleave.rs
+++ b/crates/claim/tests/interleave.rs
@@ -1,4 +1,4 @@
-//! Every interleaving of a few steps of two entries; it guards against orders that random schedules rarely draw.
+//! All orders of a few steps of two entries, including those that random schedules rarely reach.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::{
@@ -12,24 +12,33 @@
 };
 
 const DEPTH: u32 = 8;
+/// Start of the scenario in seconds.
 const START: u64 = 1_800_000_000;
 const LIMIT: Limit = Limit {
     outage: Duration::from_secs(8),
-    witness: Duration::from_secs(2),
+    join_ack_wait: Duration::from_secs(2),
     ..Limit::DEFAULT
 };
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// 3 s pass.
     Advance,
+    /// An entry reads the log.
     Read(usize),
     /// Entry 0 starts a log read, whose response may be delayed.
-    Start,
-    End,
-    Peers(usize),
+    StartRead,
+    /// Entry 0 gets the response to that log read.
+    EndRead,
+    /// An entry confirms its view through the other one.
+    ConfirmByPeer(usize),
+    /// Entry 1 joins.
     Join,
-    Witness,
+    /// Entry 0 acknowledges the join of entry 1.
+    JoinAck,
+    /// Entry 1 retires entry 0.
     Retire,
+    /// Entry 0 leaves.
     Leave,
 }
 
@@ -37,12 +46,12 @@
     Step::Advance,
     Step::Read(0),
     Step::Read(1),
-    Step::Start,
-    Step::End,
-    Step::Peers(0),
-    Step::Peers(1),
+    Step::StartRead,
+    Step::EndRead,
+    Step::ConfirmByPeer(0),
+    Step::ConfirmByPeer(1),
     Step::Join,
-    Step::Witness,
+    Step::JoinAck,
     Step::Retire,
     Step::Leave,
 ];
@@ -54,7 +63,7 @@
     log: Vec<Record>,
     leases: [Lease; 2],
     read: Option<(Time, usize)>,
-    /// For each entry, the creation times of one key of its own and one of the other's that it could have run.
+    /// For each entry, the keys that it could have run by their seed, each with the range of its creation times.
     ran: [Vec<(u64, Time, Time)>; 2],
     fenced: bool,
 }
@@ -84,7 +93,7 @@
         );
         zone.take(Step::Read(0));
         if joined {
-            [Step::Join, Step::Read(0), Step::Read(1), Step::Witness]
+            [Step::Join, Step::Read(0), Step::Read(1), Step::JoinAck]
                 .into_iter()
                 .for_each(|step| {
                     zone.take(step);
@@ -102,7 +111,7 @@
         Time::from_millis(self.now.checked_add_signed(skew).unwrap() * 1_000)
     }
 
-    /// Takes a step and tells whether it did anything.
+    /// Takes a step and tells whether it had any effect.
     fn take(&mut self, step: Step) -> bool {
         match step {
             Step::Advance => {
@@ -111,16 +120,16 @@
                 true
             }
             Step::Read(index) => self.apply(index, self.clock(index), self.log.len()),
-            Step::Start => {
-                let fresh = self.read.is_none();
+            Step::StartRead => {
+                let is_first = self.read.is_none();
                 self.read = self.read.or(Some((self.clock(0), self.log.len())));
-                fresh
+                is_first
             }
-            Step::End => self
+            Step::EndRead => self
                 .read
                 .take()
                 .is_some_and(|(start, end)| self.apply(0, start, end)),
-            Step::Peers(index) => {
+            Step::ConfirmByPeer(index) => {
                 let before = self.leases[index].horizon();
                 for request in self.leases[index].request_confirmations(self.clock(index)) {
                     if let Some(answer) = self.leases[1 - index].answer(&request) {
@@ -132,10 +141,9 @@
             Step::Join => self.append(|lease| lease[1].join("127.0.0.1:80".parse().unwrap()).ok()),
             Step::Retire => self.append(|lease| lease[1].retire(lease[0].me().clone()).ok()),
             Step::Leave => self.append(|lease| lease[0].leave().ok()),
-            Step::Witness => {
-                let witness = self.leases[0].acknowledge_join(&self.leases[1].me().clone());
-                witness
-                    .is_some_and(|witness| self.leases[1].accept_join_ack(self.clock(1), &witness))
+            Step::JoinAck => {
+                let ack = self.leases[0].acknowledge_join(&self.leases[1].me().clone());
+                ack.is_some_and(|ack| self.leases[1].accept_join_ack(self.clock(1), &ack))
             }
         }
     }
@@ -160,7 +168,7 @@
         end > have || self.leases[index].horizon() > before
     }
 
-    /// Notes what each entry could run now, and tells whether the other could have run it too.
+    /// Records which keys each entry could run now, and tells whether the other one could have run any of them too.
     fn overlaps(&mut self) -> bool {
         let mut overlap = false;
         for index in 0..2 {
@@ -187,7 +195,7 @@
     }
 }
 
-/// Explores all orders of `depth` steps; returns the number of states and of those with an overlap.
+/// Explores all orders of `depth` steps; returns the number of states, and the number of states with an overlap.
 fn explore(zone: &Zone, depth: u32) -> (u64, u64) {
     if depth == 0 {
         return (0, 0);
@@ -223,6 +231,7 @@
     })
 }
 
+/// Guards against an order of events in which two entries may run the same key.
 #[test]
 fn no_order_of_steps_lets_two_entries_run_one_key() {
     let mut text = String::new();
@@ -237,7 +246,7 @@
     insta::assert_snapshot!(text);
 }
 
-/// Guards against an exploration that could not find an overlap if there was one.
+/// Guards against an exploration that could not find an overlap even if the protocol allowed one.
 #[test]
 fn orders_without_fences_let_two_entries_run_one_key() {
     for (skew, joined, (_, overlaps)) in cases(5, false) {
--- a/crates/claim/tests/key.rs
+++ b/crates/claim/tests/key.rs
@@ -1,12 +1,13 @@
-//! Keys from callers; these guard against keys without a creation time and hashes that change between versions.
+//! Parsing of keys.
 
 use sassafrascrank_claim::key::Key;
 use std::fmt::Write;
 
 const UUID: &str = "01890a5d-ac96-774b-bcce-b302099a8057";
 
+/// Guards against keys without a creation time, errors without a remedy, and hashes that change between versions.
 #[test]
-fn keys_parse_or_name_the_remedy() {
+fn invalid_keys_get_an_error_with_a_remedy() {
     let long = format!("{}:{UUID}", "a".repeat(64));
     let texts = [
         format!("suva:{UUID}"),
--- a/crates/claim/tests/lease.rs
+++ b/crates/claim/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Membership and lease, one scenario for each hole that the review of the protocol found.
+//! Membership and lease: one scenario for each sequence of events that could let a key run twice.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::{
@@ -43,7 +43,7 @@
     Key::new(Name::new("suva").unwrap(), Id::from_bits(bits))
 }
 
-/// Two active members a and b with their log at 1,000 s.
+/// Returns two active members a and b, both confirmed at 1,000 s, and their log.
 fn pair() -> (Lease, Lease, Vec<Record>) {
     let (mut a, mut b) = (lease("a", 1), lease("b", 1));
     let mut log = vec![join(&mut a)];
@@ -51,15 +51,16 @@
     log.push(join(&mut b));
     read(&mut a, 901, &log);
     read(&mut b, 901, &log);
-    let witness = a.acknowledge_join(b.me()).unwrap();
-    assert!(b.accept_join_ack(at(901), &witness));
+    let ack = a.acknowledge_join(b.me()).unwrap();
+    assert!(b.accept_join_ack(at(901), &ack));
     read(&mut a, 1_000, &log);
     read(&mut b, 1_000, &log);
     (a, b, log)
 }
 
-/// Guards against a first member that runs keys which a retired, still running member may run too: b retires a, which
-/// confirms alone and cut off from the log, then leaves, and c finds an empty zone.
+/// Guards against a first member that runs keys which a retired member may also run.
+///
+/// b retires a and leaves, and c finds an empty zone. a is cut off from the log and still runs keys by its old view.
 #[test]
 fn an_entry_that_joins_an_emptied_zone_has_a_fence() {
     let (_, mut b, mut log) = pair();
@@ -74,7 +75,7 @@
     assert_eq!(c.state(), State::Active(at(1_002 + 900 + 5 + 1)));
 }
 
-/// Guards against the same fault where all members left: the last keys may have been run a moment ago.
+/// Guards against a member that joins an empty zone and repeats keys that ran just before the last member left.
 #[test]
 fn an_entry_that_joins_after_the_last_leave_waits_for_one_lease() {
     let (mut a, mut b, mut log) = pair();
@@ -87,7 +88,7 @@
     assert_eq!(c.state(), State::Active(at(1_008)));
 }
 
-/// Guards against a view import that hides an entry which joined, ran keys and departed in the skipped records.
+/// Guards against an import of a view that skips the records of an entry which joined, ran keys and departed.
 #[test]
 fn an_import_that_skips_records_raises_the_fence() {
     let (mut a, mut b, mut log) = pair();
@@ -112,7 +113,7 @@
     assert_eq!(a.view().offset, 4);
 }
 
-/// Guards against a restarted process that continues the membership of its predecessor without its memory.
+/// Guards against a restarted process that goes on as the member that its predecessor was, without its table.
 #[test]
 fn a_process_that_reads_the_join_of_its_predecessor_runs_nothing() {
     let (_, _, log) = pair();
@@ -123,7 +124,7 @@
     assert_eq!(join(&mut again).writer().incarnation, 2);
 }
 
-/// Guards against a confirmation by another process at the address of a member, and by an answer to another round.
+/// Guards against a confirmation by another process at the address of a member, or by an answer to an earlier round.
 #[test]
 fn only_the_named_process_confirms_and_only_its_round() {
     let (mut a, b, _) = pair();
@@ -136,7 +137,7 @@
     assert_eq!(a.horizon(), at(1_015));
 }
 
-/// Guards against a peer that agrees while its own retirement record may already be in the log.
+/// Guards against a peer that confirms a member while its record that retires this member may already be in the log.
 #[test]
 fn a_peer_with_an_append_in_flight_does_not_confirm() {
     let (mut a, mut b, mut log) = pair();
@@ -149,30 +150,31 @@
     assert!(!b.answer(&request).unwrap().agrees);
 }
 
-/// Guards against service beyond D, for which a joining entry without a witness waits.
+/// Guards against an entry that runs keys by an old view for longer than a joining entry waits without an
+/// acknowledgement.
 #[test]
-fn peers_confirm_for_d_after_the_last_log_read() {
+fn peers_confirm_only_until_the_outage_limit() {
     let (mut a, _, _) = pair();
     assert_eq!(a.request_confirmations(at(1_900)).len(), 1);
     assert!(a.request_confirmations(at(1_901)).is_empty());
 }
 
-/// Guards against a late witness that leaves the long fence in place, and a new witness that hides its own.
+/// Guards against a late acknowledgement that leaves the long fence in place, and one without the fence of its sender.
 #[test]
-fn a_late_witness_lowers_the_fence_to_its_own() {
+fn a_late_join_ack_lowers_the_fence_to_that_of_its_sender() {
     let (a, _, mut log) = pair();
     let mut c = lease("c", 1);
     log.push(join(&mut c));
     read(&mut c, 1_001, &log);
     c.tick(at(1_006));
-    let long = State::Active(at(1_907));
-    assert_eq!(c.state(), long);
+    let without_ack = State::Active(at(1_907));
+    assert_eq!(c.state(), without_ack);
     let mut d = lease("d", 1);
     log.push(join(&mut d));
     read(&mut c, 1_007, &log);
     read(&mut d, 1_007, &log);
     assert!(d.accept_join_ack(at(1_007), &c.acknowledge_join(d.me()).unwrap()));
-    assert_eq!(d.state(), long);
+    assert_eq!(d.state(), without_ack);
     assert_eq!(
         a.acknowledge_join(c.me()),
         None,
@@ -184,9 +186,9 @@
     assert_eq!(c.state(), State::Active(at(1_016)));
 }
 
-/// Guards against refusals whose outcome claims too much.
+/// Guards against a refusal that says "not run" although another entry may have run the key.
 #[test]
-fn permits_name_what_is_certain() {
+fn refusals_claim_only_what_is_certain() {
     let (mut a, mut b, mut log) = pair();
     let own = |lease: &Lease, created| {
         (0..)
@@ -221,7 +223,7 @@
     insta::assert_snapshot!(out);
 }
 
-/// Guards against two entries that retire each other, a retirement that races with a leave, and late repeats.
+/// Guards against two entries that retire each other, a leave that follows a retirement, and late repeats of records.
 #[test]
 fn the_fold_ignores_repeats_and_writers_that_are_not_members() {
     let entry = |host| lease(host, 1).me().clone();
--- a/crates/claim/tests/world/call.rs
+++ b/crates/claim/tests/simulation/call.rs
@@ -1,13 +1,13 @@
-//! Callers that repeat a key at any entry, and how entries serve them.
+//! Callers that repeat a key at any entry, and how the entries serve them.
 
 use super::{
     node::{
         Reply,
         zone, //
     },
-    world::{
-        Mail,
-        World, //
+    simulation::{
+        Message,
+        Simulation, //
     },
 };
 use rand::RngExt;
@@ -19,20 +19,21 @@
     table::*, //
 };
 
-/// Tries after which a caller keeps the last answer it got.
+/// Tries after which a caller keeps the last answer that it got.
 const TRIES: u32 = 6;
 
 pub(super) struct Call {
     pub(super) key: Key,
     pub(super) tries: u32,
     pub(super) next: u64,
-    /// Attempts that started and are not known not to have run.
+    /// Attempts that started, without those that certainly did not run.
     pub(super) starts: u32,
     pub(super) last: Option<Outcome>,
     pub(super) done: bool,
 }
 
-impl World {
+impl Simulation {
+    /// Adds a caller with a new key, whose creation time differs from the simulated time by up to 1.5 s.
     pub(super) fn call(&mut self) {
         let created = self
             .now
@@ -49,7 +50,7 @@
         });
     }
 
-    /// Lets each caller that waited long enough try any entry that is up.
+    /// Lets each caller whose next try is due send its request to a random entry that is up.
     pub(super) fn retry(&mut self) {
         for call in 0..self.calls.len() {
             if self.calls[call].done || self.calls[call].next > self.now {
@@ -65,11 +66,12 @@
             self.calls[call].tries += 1;
             if !up.is_empty() {
                 let to = up[self.rng.random_range(0..up.len())].clone();
-                self.send(None, to, Mail::Call(call, 0));
+                self.send(None, to, Message::Call(call, 0));
             }
         }
     }
 
+    /// Runs, forwards, answers or refuses a request; an entry forwards only what comes from a caller.
     pub(super) fn serve(&mut self, index: usize, call: usize, hops: u32) {
         let key = self.calls[call].key.clone();
         let (node, fenced) = (&mut self.nodes[index], self.fenced);
@@ -85,7 +87,7 @@
                 .iter()
                 .any(|node| node.up && *node.entry() == owner);
             if up && !self.is_cut(&me, &owner) {
-                return self.send(Some(me), owner, Mail::Call(call, 1));
+                return self.send(Some(me), owner, Message::Call(call, 1));
             }
             return self.refuse(call, Refusal::unknown(Reason::OwnerUnreachable));
         }
@@ -93,36 +95,36 @@
             Err(refusal) if refusal.reason == Reason::KeyExpired && !fenced => Ok(()),
             permit => permit,
         };
-        let print = Fingerprint(1);
+        let fingerprint = Fingerprint(1);
         match node
             .table
-            .begin(clock, key.id(), print, ticket::Key::default(), permit)
+            .begin(clock, key.id(), fingerprint, ticket::Key::default(), permit)
         {
             Admission::Run(slot) => {
                 self.tally.runs += 1;
                 self.calls[call].starts += 1;
                 if self.calls[call].starts > 1 {
                     self.tally
-                        .broken
+                        .violations
                         .push(format!("at-most-once: seed {} {:?}", self.seed, self.fault));
                 }
-                let dice = self.rng.random_range(0..100);
-                self.send(None, me, Mail::Done(slot, call, dice));
+                let roll = self.rng.random_range(0..100);
+                self.send(None, me, Message::Ended(slot, call, roll));
             }
             Admission::Wait(_) => self.tally.waits += 1,
             Admission::Replay(_) => {
                 self.tally.replays += 1;
-                self.tell(call, Outcome::Answered);
+                self.respond(call, Outcome::Answered);
             }
             Admission::Refuse(refusal) => self.refuse(call, refusal),
         }
     }
 
-    /// Ends an attempt: 3% are lost and 3% did not run.
-    pub(super) fn done(&mut self, index: usize, slot: Slot, call: usize, dice: u32) {
+    /// Ends an attempt: for 3% the outcome is lost, and 3% did not run.
+    pub(super) fn end_attempt(&mut self, index: usize, slot: Slot, call: usize, roll: u32) {
         let node = &mut self.nodes[index];
         let clock = node.clock(self.now);
-        match dice {
+        match roll {
             0..3 => {
                 assert!(node.table.lost(clock, slot));
                 self.refuse(call, Refusal::unknown(Reason::ConnectionLost));
@@ -134,23 +136,24 @@
             }
             _ => {
                 assert!(node.table.finish(clock, slot, Reply));
-                self.tell(call, Outcome::Answered);
+                self.respond(call, Outcome::Answered);
             }
         }
     }
 
+    /// Refuses a request, and records a violation if "not run" is false.
     pub(super) fn refuse(&mut self, call: usize, refusal: Refusal) {
         if refusal.outcome == Outcome::NotRun && self.calls[call].starts > 0 {
-            self.tally.broken.push(format!(
+            self.tally.violations.push(format!(
                 "true-not-run: seed {} {:?} {}",
                 self.seed, self.fault, refusal.reason
             ));
         }
-        self.tell(call, refusal.outcome);
+        self.respond(call, refusal.outcome);
     }
 
-    /// Brings an answer to the caller, unless it is lost; callers repeat everything but answers.
-    pub(super) fn tell(&mut self, call: usize, outcome: Outcome) {
+    /// Sends an outcome to the caller; 3% are lost. A caller repeats its request unless it was answered.
+    pub(super) fn respond(&mut self, call: usize, outcome: Outcome) {
         if self.rng.random_bool(0.03) {
             return;
         }
--- a/crates/claim/tests/world/entry.rs
+++ b/crates/claim/tests/simulation/entry.rs
@@ -1,11 +1,11 @@
-//! What an entry process does with time and with messages.
+//! What an entry does in each step and with each message.
 
 use super::{
     node::LIMIT,
-    world::{
-        Mail,
-        STEP,
-        World, //
+    simulation::{
+        Message,
+        STEP_MS,
+        Simulation, //
     },
 };
 use rand::RngExt;
@@ -18,8 +18,9 @@
     },
 };
 
-impl World {
-    pub(super) fn act(&mut self, index: usize) {
+impl Simulation {
+    /// Runs one step of an entry: joining, leaving, and at random times a log read.
+    pub(super) fn step_entry(&mut self, index: usize) {
         let (now, clock) = (self.now, self.nodes[index].clock(self.now));
         let node = &mut self.nodes[index];
         let me = node.entry().clone();
@@ -41,13 +42,13 @@
                 .is_some_and(|since| since + 15_000 <= now)
         {
             node.up = false;
-            node.restart_at = now + 2 * STEP;
+            node.restart_at = now + 2 * STEP_MS;
             return;
         }
         if self.rng.random_bool(0.4) {
             self.read(index);
         }
-        if (now / STEP + index as u64).is_multiple_of(4) {
+        if (now / STEP_MS + index as u64).is_multiple_of(4) {
             self.report(index, &me, clock);
         }
     }
@@ -56,60 +57,61 @@
         if self.is_log_cut(index) {
             return;
         }
-        let mail = Mail::Log(self.nodes[index].clock(self.now), self.log.len() as u64);
+        let message = Message::LogRead(self.nodes[index].clock(self.now), self.log.len() as u64);
         let me = self.nodes[index].entry().clone();
-        self.send(None, me, mail);
+        self.send(None, me, message);
     }
 
     pub(super) fn is_log_cut(&self, index: usize) -> bool {
         self.log_down_until > self.now || self.nodes[index].log_cut_until > self.now
     }
 
-    /// Does what an entry does each second.
+    /// Sends the messages that an entry sends each second.
     pub(super) fn report(&mut self, index: usize, me: &Entry, clock: Time) {
         let log_cut = self.is_log_cut(index);
         let (now, node) = (self.now, &mut self.nodes[index]);
-        let mut out: Vec<(Entry, Mail)> = Vec::new();
+        let mut out: Vec<(Entry, Message)> = Vec::new();
         let peers = node.peers();
-        let asks = node.lease.request_confirmations(clock);
+        let requests = node.lease.request_confirmations(clock);
         for peer in &peers {
             let (first, last) = *node.heard.entry(peer.clone()).or_insert((now, now));
-            let seeking = match node.lease.state() {
-                State::Active(fence) => fence > clock + LIMIT.margin(),
+            let needs_ack = match node.lease.state() {
+                State::Active(fence) => fence > clock + LIMIT.fence_margin(),
                 state => matches!(state, State::Joining(_)),
             };
-            if seeking || asks.is_empty() {
-                out.push((peer.clone(), Mail::Look(me.clone())));
+            if needs_ack || requests.is_empty() {
+                out.push((peer.clone(), Message::SeekJoinAck(me.clone())));
             }
             if last + 5_000 <= now && !log_cut {
                 self.tally.retired += u64::from(node.lease.retire(peer.clone()).is_ok());
             }
             let recent = first + 4_000 > now || node.departed_at.is_some();
             if recent && let Some(handover) = node.table.export(&node.lease, peer) {
-                out.push((peer.clone(), Mail::Handover(handover)));
+                out.push((peer.clone(), Message::Handover(handover)));
             }
             if self.rng.random_bool(0.005) {
-                out.push((peer.clone(), Mail::View(node.lease.view().clone())));
+                out.push((peer.clone(), Message::View(node.lease.view().clone())));
             }
         }
         out.extend(
-            asks.into_iter()
-                .map(|request| (request.to.clone(), Mail::Ask(request))),
+            requests
+                .into_iter()
+                .map(|request| (request.to.clone(), Message::ConfirmRequest(request))),
         );
         if let Some(record) = node.lease.pending().cloned()
             && !log_cut
         {
-            self.send(None, me.clone(), Mail::Append(record));
+            self.send(None, me.clone(), Message::Append(record));
         }
         out.into_iter()
-            .for_each(|(to, mail)| self.send(Some(me.clone()), to, mail));
+            .for_each(|(to, message)| self.send(Some(me.clone()), to, message));
     }
 
-    pub(super) fn handle(&mut self, index: usize, from: Option<Entry>, mail: Mail) {
+    pub(super) fn handle(&mut self, index: usize, from: Option<Entry>, message: Message) {
         let node = &mut self.nodes[index];
         let clock = node.clock(self.now);
-        let reply = match mail {
-            Mail::Log(start, end) => {
+        let reply = match message {
+            Message::LogRead(start, end) => {
                 for offset in node.lease.view().offset..end {
                     let effect = node
                         .lease
@@ -122,36 +124,40 @@
                 node.lease.confirm(start, end);
                 None
             }
-            Mail::Ask(request) => node.lease.answer(&request).map(Mail::Answer),
-            Mail::Answer(answer) => {
+            Message::ConfirmRequest(request) => {
+                node.lease.answer(&request).map(Message::ConfirmAnswer)
+            }
+            Message::ConfirmAnswer(answer) => {
                 let before = node.lease.horizon();
                 node.lease.record_answer(&answer);
                 self.tally.by_peers += u64::from(node.lease.horizon() > before);
                 None
             }
-            Mail::Look(entry) => node.lease.acknowledge_join(&entry).map(Mail::Witness),
-            Mail::Witness(witness) => {
+            Message::SeekJoinAck(entry) => {
+                node.lease.acknowledge_join(&entry).map(Message::JoinAck)
+            }
+            Message::JoinAck(ack) => {
                 let late = matches!(node.lease.state(), State::Active(_));
-                let lowered = node.lease.accept_join_ack(clock, &witness);
-                self.tally.late_witness += u64::from(late && lowered);
+                let lowered = node.lease.accept_join_ack(clock, &ack);
+                self.tally.late_ack += u64::from(late && lowered);
                 None
             }
-            Mail::View(view) => {
+            Message::View(view) => {
                 self.tally.imports += u64::from(node.lease.import(clock, view));
                 None
             }
-            Mail::Handover(handover) => {
+            Message::Handover(handover) => {
                 let accepted = node.table.accept(clock, &mut node.lease, handover);
                 self.tally.handovers += u64::from(accepted.is_ok());
                 None
             }
-            Mail::Call(call, hops) => return self.serve(index, call, hops),
-            Mail::Done(slot, call, dice) => return self.done(index, slot, call, dice),
-            Mail::Append(_) => None,
+            Message::Call(call, hops) => return self.serve(index, call, hops),
+            Message::Ended(slot, call, roll) => return self.end_attempt(index, slot, call, roll),
+            Message::Append(_) => None,
         };
-        if let (Some(mail), Some(from)) = (reply, from) {
+        if let (Some(message), Some(from)) = (reply, from) {
             let me = self.nodes[index].entry().clone();
-            self.send(Some(me), from, mail);
+            self.send(Some(me), from, message);
         }
     }
 }
--- a/crates/claim/tests/world/node.rs
+++ b/crates/claim/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One entry process.
+//! One simulated entry. All times are in milliseconds.
 
 use sassafrascrank_base::prelude::{
     Name,
@@ -33,15 +33,15 @@
     }
 }
 
-/// Bounds with a short `D`, so that schedules of a minute reach it.
+/// Bounds with a short outage limit, so that schedules of a minute reach it.
 pub(crate) const LIMIT: lease::Limit = lease::Limit {
     outage: Duration::from_secs(20),
     ..lease::Limit::DEFAULT
 };
 
 const TABLE: Limit = Limit {
-    count: 256,
-    bytes: 1 << 24,
+    requests: 256,
+    total_bytes: 1 << 24,
     ..Limit::DEFAULT
 };
 
@@ -54,8 +54,9 @@
     pub(crate) restart_at: u64,
     pub(crate) departed_at: Option<u64>,
     pub(crate) leaving_since: Option<u64>,
-    /// When each peer was first and last heard of.
+    /// When the first and the last message of each peer arrived.
     pub(crate) heard: BTreeMap<Entry, (u64, u64)>,
+    /// Difference of its clock from the simulated time.
     pub(crate) skew: i64,
 }
 
--- a/crates/claim/tests/world/world.rs
+++ b/crates/claim/tests/simulation/simulation.rs
@@ -1,4 +1,4 @@
-//! The log, the messages, the callers and the steps of a schedule.
+//! One simulated schedule: its log, messages, callers and faults. All times are in milliseconds.
 
 use super::{
     Fault, Tally,
@@ -20,30 +20,39 @@
     table::*, //
 };
 
-pub(super) const STEP: u64 = 250;
-const START: u64 = 1_800_000_000_000;
-const LAST_CALL: u64 = START + 50_000;
-const HEALED: u64 = START + 45_000;
-const END: u64 = START + 66_000;
-/// Time by which every caller must have an answer, a minute after the last call and the last fault.
-const LAST_ANSWER: u64 = START + 110_000;
+/// Simulated time between two steps.
+pub(super) const STEP_MS: u64 = 250;
+const START_MS: u64 = 1_800_000_000_000;
+/// Time after which callers make no new call.
+const LAST_CALL_MS: u64 = START_MS + 50_000;
+/// Time by which all faults are over.
+const FAULTS_END_MS: u64 = START_MS + 45_000;
+/// End of the schedule, unless a caller still has no answer.
+const END_MS: u64 = START_MS + 66_000;
+/// Time by which each caller must have an answer: a minute after the last call and the last fault.
+const ANSWER_DEADLINE_MS: u64 = START_MS + 110_000;
 
+/// A message to an entry or to the log, or an event at an entry.
 #[derive(Clone)]
-pub(super) enum Mail {
-    Log(Time, u64),
+pub(super) enum Message {
+    /// Result of a log read: when it started, and the last offset.
+    LogRead(Time, u64),
     Append(Record),
-    Ask(Request),
-    Answer(Answer),
-    Look(Entry),
-    Witness(JoinAck),
+    ConfirmRequest(Request),
+    ConfirmAnswer(Answer),
+    /// The entry asks for an acknowledgement of its join.
+    SeekJoinAck(Entry),
+    JoinAck(JoinAck),
     View(View),
     Handover(Handover<Reply>),
+    /// Request of a caller by its index, and how often it was forwarded.
     Call(usize, u32),
-    Done(Slot, usize, u32),
+    /// End of the attempt of a slot for a caller, with the random number that decides its outcome.
+    Ended(Slot, usize, u32),
 }
 
 /// One schedule.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(super) seed: u64,
     pub(super) fault: Fault,
     pub(super) fenced: bool,
@@ -51,63 +60,66 @@
     pub(super) now: u64,
     pub(super) log: Vec<Record>,
     pub(super) log_down_until: u64,
-    /// Pairs of nodes that can't reach each other, with the end of the cut.
+    /// Pairs of nodes that can't reach each other, with the end of the fault.
     pub(super) cuts: Vec<(usize, usize, u64)>,
     pub(super) nodes: Vec<Node>,
-    pub(super) mail: Vec<(u64, Option<Entry>, Entry, Mail)>,
+    /// Undelivered messages: time of delivery, sender, receiver and message.
+    pub(super) in_flight: Vec<(u64, Option<Entry>, Entry, Message)>,
     pub(super) calls: Vec<Call>,
     pub(super) tally: Tally,
 }
 
-impl World {
+impl Simulation {
     /// Runs one schedule; without `fenced`, the fences are ignored.
     pub(crate) fn run(seed: u64, fault: Fault, fenced: bool) -> Tally {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = rng.random_range(2..=4);
         let nodes = (0..count).map(|index| Node::new(index, 1, rng.random_range(-500..=500)));
         let nodes = nodes.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             seed,
             fault,
             fenced,
             rng,
-            now: START,
+            now: START_MS,
             log: Vec::new(),
             log_down_until: 0,
             cuts: Vec::new(),
             nodes,
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             calls: Vec::new(),
             tally: Tally::default(),
         };
-        let first = START + 15_000;
+        let first = START_MS + 15_000;
         let faults = match fault {
-            Fault::Calm => 0,
+            Fault::None => 0,
             Fault::Rolling => 1,
-            _ => world.rng.random_range(1..=4),
+            _ => simulation.rng.random_range(1..=4),
         };
         let last = if fault == Fault::Rolling {
             first + 1
         } else {
-            HEALED - 5_000
+            FAULTS_END_MS - 5_000
         };
         let mut times: Vec<u64> = (0..faults)
-            .map(|_| world.rng.random_range(first..last))
+            .map(|_| simulation.rng.random_range(first..last))
             .collect();
-        while world.now < END || (world.now < LAST_ANSWER && world.is_awaited()) {
-            let now = world.now;
+        while simulation.now < END_MS
+            || (simulation.now < ANSWER_DEADLINE_MS && simulation.has_unanswered_caller())
+        {
+            let now = simulation.now;
             times
                 .iter()
-                .filter(|time| (now..now + STEP).contains(time))
-                .for_each(|_| world.strike());
-            times.retain(|time| *time >= now + STEP);
-            world.step();
+                .filter(|time| (now..now + STEP_MS).contains(time))
+                .for_each(|_| simulation.inject_fault());
+            times.retain(|time| *time >= now + STEP_MS);
+            simulation.step();
         }
-        world.finish()
+        simulation.finish()
     }
 
-    /// Tells whether a caller has no answer yet, since all messages of its tries were lost.
-    fn is_awaited(&self) -> bool {
+    /// Tells whether a caller has no answer yet, because all messages of its tries were lost.
+    fn has_unanswered_caller(&self) -> bool {
         self.calls.iter().any(|call| call.last.is_none())
     }
 
@@ -119,9 +131,9 @@
                 Some(Outcome::NotRun) => self.tally.not_run += 1,
                 Some(Outcome::Unknown) => self.tally.unknown += 1,
                 None => {
-                    self.tally.silent += 1;
+                    self.tally.unanswered += 1;
                     self.tally
-                        .broken
+                        .violations
                         .push(format!("no answer: seed {} {:?}", self.seed, self.fault));
                 }
             }
@@ -129,12 +141,13 @@
         self.tally
     }
 
-    pub(super) fn strike(&mut self) {
+    /// Starts one fault of the kind of this schedule.
+    pub(super) fn inject_fault(&mut self) {
         let kind = match self.fault {
             Fault::Mixed => Fault::SINGLE[self.rng.random_range(0..Fault::SINGLE.len())],
             kind => kind,
         };
-        let until = (self.now + self.rng.random_range(1_000..25_000)).min(HEALED);
+        let until = (self.now + self.rng.random_range(1_000..25_000)).min(FAULTS_END_MS);
         let (a, b) = (
             self.rng.random_range(0..self.nodes.len()),
             self.rng.random_range(0..self.nodes.len()),
@@ -152,11 +165,11 @@
             Fault::Rolling => (0..self.nodes.len()).for_each(|index| {
                 self.nodes[index].leaving_since = Some(self.now + 10_000 * index as u64);
             }),
-            Fault::Calm | Fault::Messages | Fault::Mixed => {}
+            Fault::None | Fault::Messages | Fault::Mixed => {}
         }
     }
 
-    /// Stops one entry; except in mixed schedules, entries stop one at a time.
+    /// Starts the planned stop of one entry; except in mixed schedules, entries stop one at a time.
     pub(super) fn leave(&mut self, index: usize) {
         let joined = |node: &Node| {
             node.up
@@ -177,21 +190,21 @@
                 *node = Node::new(index, incarnation, node.skew);
             }
             if node.up && node.paused_until <= self.now {
-                self.act(index);
+                self.step_entry(index);
             }
         }
-        if self.now < LAST_CALL && self.rng.random_bool(0.25) {
+        if self.now < LAST_CALL_MS && self.rng.random_bool(0.25) {
             self.call();
         }
         self.retry();
-        self.now += STEP;
+        self.now += STEP_MS;
     }
 
-    /// Sends a message with a delay, and sometimes loses, repeats or overtakes it.
-    pub(super) fn send(&mut self, from: Option<Entry>, to: Entry, mail: Mail) {
+    /// Sends a message with a delay; it may be lost, repeated or overtaken by a later one.
+    pub(super) fn send(&mut self, from: Option<Entry>, to: Entry, message: Message) {
         let noisy = self.fault == Fault::Messages || self.fault == Fault::Mixed;
         let rate = if noisy { 0.15 } else { 0.01 };
-        let local = matches!(mail, Mail::Done(..));
+        let local = matches!(message, Message::Ended(..));
         if !local && self.rng.random_bool(rate) {
             return;
         }
@@ -207,19 +220,19 @@
             } else {
                 self.rng.random_range(0..200)
             };
-            self.mail
-                .push((self.now + delay, from.clone(), to.clone(), mail.clone()));
+            self.in_flight
+                .push((self.now + delay, from.clone(), to.clone(), message.clone()));
         }
     }
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        let mail = core::mem::take(&mut self.mail).into_iter();
-        let (mut due, rest): (Vec<_>, Vec<_>) = mail.partition(|mail| mail.0 <= now);
-        self.mail = rest;
-        due.sort_by_key(|mail| mail.0);
-        for (at, from, to, mail) in due {
-            if let Mail::Append(record) = mail {
+        let messages = core::mem::take(&mut self.in_flight).into_iter();
+        let (mut due, rest): (Vec<_>, Vec<_>) = messages.partition(|message| message.0 <= now);
+        self.in_flight = rest;
+        due.sort_by_key(|message| message.0);
+        for (at, from, to, message) in due {
+            if let Message::Append(record) = message {
                 self.log.push(record);
                 continue;
             }
@@ -231,7 +244,7 @@
                 continue;
             };
             if self.nodes[index].paused_until > now {
-                self.mail.push((at, from, to, mail));
+                self.in_flight.push((at, from, to, message));
                 continue;
             }
             if let Some(from) = &from {
@@ -244,7 +257,7 @@
                     .or_insert((now, now));
                 heard.1 = now;
             }
-            self.handle(index, from, mail);
+            self.handle(index, from, message);
         }
     }
 
--- a/crates/claim/tests/world/tally.rs
+++ b/crates/claim/tests/simulation/tally.rs
@@ -1,4 +1,4 @@
-//! Counts over many schedules.
+//! Counts over many schedules; the names are the headings of the snapshot.
 
 use core::ops::AddAssign;
 
@@ -7,14 +7,14 @@
         #[derive(Clone, Debug, Default)]
         pub(crate) struct Tally {
             $(pub(crate) $name: u64,)*
-            /// Violated invariants with their seeds.
-            pub(crate) broken: Vec<String>,
+            /// Violations of the invariants, with their seeds.
+            pub(crate) violations: Vec<String>,
         }
 
         impl AddAssign for Tally {
             fn add_assign(&mut self, other: Self) {
                 $(self.$name += other.$name;)*
-                self.broken.extend(other.broken);
+                self.violations.extend(other.violations);
             }
         }
 
@@ -29,17 +29,6 @@
 }
 
 tally!(
-    keys,
-    answered,
-    not_run,
-    unknown,
-    silent,
-    runs,
-    replays,
-    waits,
-    retired,
-    by_peers,
-    late_witness,
-    handovers,
-    imports
+    keys, answered, not_run, unknown, unanswered, runs, replays, waits, retired, by_peers,
+    late_ack, handovers, imports
 );
--- a/crates/claim/tests/table.rs
+++ b/crates/claim/tests/table.rs
@@ -1,4 +1,4 @@
-//! Bounds, retention, conflicts and handover of the table.
+//! Table of keyed requests: bounds, retention, conflicts and handover.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::{
@@ -25,12 +25,12 @@
 }
 
 const LIMIT: Limit = Limit {
-    count: 40,
-    bytes: 4_500,
-    answer: 100,
+    requests: 40,
+    total_bytes: 4_500,
+    answer_bytes: 100,
     retention: Duration::from_secs(600),
 };
-const ME: Fingerprint = Fingerprint(1);
+const FINGERPRINT: Fingerprint = Fingerprint(1);
 
 fn at(seconds: u64) -> Time {
     Time::from_millis(seconds * 1_000)
@@ -41,7 +41,7 @@
 }
 
 fn begin(table: &mut Table<Reply>, now: u64, id: Id) -> Admission {
-    table.begin(at(now), id, ME, ticket::Key::default(), || Ok(()))
+    table.begin(at(now), id, FINGERPRINT, ticket::Key::default(), || Ok(()))
 }
 
 fn run(table: &mut Table<Reply>, now: u64, id: Id) -> Slot {
@@ -58,9 +58,9 @@
     }
 }
 
-/// Guards against a repeat that runs, and a key that stays blocked after an attempt which did not run.
+/// Guards against a repeated key that runs again, and a key that stays blocked after an attempt which did not run.
 #[test]
-fn repeats_get_what_is_known_of_the_first_request() {
+fn repeats_get_the_state_of_the_first_request() {
     let mut table = Table::new(LIMIT);
     let (a, b, c) = (id(1_000, 1), id(1_000, 2), id(1_000, 3));
     let slot = run(&mut table, 1_000, a);
@@ -89,7 +89,7 @@
     assert_eq!(table.bytes(), 7);
 }
 
-/// Guards against a refusal that tells one customer what became of another customer's request.
+/// Guards against a refusal that reveals the state of another customer's request.
 #[test]
 fn another_fingerprint_gets_the_same_conflict_in_every_state() {
     let mut table = Table::new(LIMIT);
@@ -110,11 +110,13 @@
     table.finish(at(1_000), slots[2], Reply(101));
     table.lost(at(1_000), slots[3]);
     (0..4).for_each(|low| assert_eq!(other(&mut table, id(1_000, low)), conflict));
-    assert_eq!(table.count().conflict, 4);
+    assert_eq!(table.counters().conflict, 4);
 }
 
-/// Guards against a key created ahead of the present, whose outcome would be dropped before the key is too old to run,
-/// and against a clock that steps back after the drop.
+/// Guards against a key that runs again after it was dropped from the table.
+///
+/// A key created ahead of the clock must not be dropped before it is old enough to be refused, and a clock that steps
+/// back after the drop must not make it young again.
 #[test]
 fn a_dropped_key_never_runs_again() {
     let mut table = Table::new(LIMIT);
@@ -134,7 +136,7 @@
     assert!(table.is_empty() && table.bytes() == 0);
 }
 
-/// Guards against early eviction, and against an answer that finds no room when it arrives.
+/// Guards against requests dropped before their retention is over, and against an answer for which there is no room.
 #[test]
 fn a_full_table_refuses_new_keys_and_keeps_old_ones() {
     let mut table = Table::new(LIMIT);
@@ -153,13 +155,13 @@
     ));
     run(&mut table, 1_601, id(1_600, 40));
     let mut table = Table::new(Limit {
-        bytes: 250,
+        total_bytes: 250,
         ..LIMIT
     });
     run(&mut table, 1_000, id(1_000, 0));
     run(&mut table, 1_000, id(1_000, 1));
     assert_eq!(refused(begin(&mut table, 1_000, id(1_000, 2))), full);
-    assert_eq!(table.count().full, 1);
+    assert_eq!(table.counters().full, 1);
 }
 
 fn lease(host: &str) -> Lease {
@@ -182,8 +184,10 @@
     }
 }
 
-/// Guards against a planned stop that makes keys unknown, a handover before its record, a second one, one that does
-/// not fit, and keys that the sender has forgotten but the receiver, whose clock is behind, would run.
+/// Guards against keys that get an unknown outcome after a planned stop, or run again after a handover.
+///
+/// The handover arrives before the receiver has read the departure, does not fit into a table, and arrives twice. The
+/// sender has already dropped keys that the receiver, whose clock is behind, would still run.
 #[test]
 fn a_handover_moves_outcomes_and_lowers_the_fence_as_a_whole() {
     let (mut a, mut b, mut log) = (lease("a"), lease("b"), Vec::new());
@@ -225,7 +229,10 @@
         .find(|hash| b.fence(*hash) > Time::MIN)
         .unwrap();
     assert_eq!(b.fence(moved), at(1_007));
-    let mut small = Table::new(Limit { count: 39, ..LIMIT });
+    let mut small = Table::new(Limit {
+        requests: 39,
+        ..LIMIT
+    });
     assert_eq!(
         small.accept(at(1_001), &mut b, handover.clone()),
         Err(Error::Full)
@@ -243,8 +250,10 @@
     assert_eq!(new.bytes(), 360);
 }
 
-/// Guards against a handover that follows a later view than the departure: the receiver, which may not know that view,
-/// would take a key that went elsewhere for one that never ran.
+/// Guards against a handover by a later view than that of the departure.
+///
+/// It would leave out keys that the later view gives to a third entry. A receiver that does not know that view would
+/// conclude that these keys never ran.
 #[test]
 fn a_departed_entry_hands_over_by_the_zone_at_its_departure() {
     let (mut a, mut b, mut c) = (lease("a"), lease("b"), lease("c"));
