--- a/crates/route/benches/choose.rs
+++ b/crates/route/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Cost of taking and giving back one slot, beside a linear scan over the same upstreams.
+//! Cost of taking and giving back one slot, compared with a linear scan over the same number of upstreams.
 
 use divan::{
     Bencher,
@@ -12,10 +12,10 @@
 };
 use slotmap::SlotMap;
 
-/// Numbers of upstreams of one pool today and of all pools at the target size.
+/// Numbers of upstreams: of a small pool, and of all pools at the size that the system is built for.
 const SIZES: [usize; 2] = [50, 1_400];
 
-/// Slots of each upstream that are taken before the measurement, out of 8.
+/// Slots of each upstream, out of 8, that are taken before the measurement.
 const LOAD: usize = 4;
 
 const ANSWER: AttemptResult = AttemptResult::Answered(Duration::from_millis(20));
@@ -52,7 +52,8 @@
     });
 }
 
-struct Plain {
+/// An upstream in the linear scan.
+struct Candidate {
     upstream: upstream::Key,
     zone: availability_zone::Key,
     quota: u32,
@@ -66,7 +67,7 @@
     let mut zones = SlotMap::with_key();
     let home: availability_zone::Key = zones.insert(());
     let mut keys = SlotMap::with_key();
-    let make = |_| Plain {
+    let make = |_| Candidate {
         upstream: keys.insert(()),
         zone: home,
         quota: 8,
@@ -74,23 +75,28 @@
         latency: 20_000,
         turn: 0,
     };
-    let mut upstreams: Vec<Plain> = (0..size).map(make).collect();
+    let mut upstreams: Vec<Candidate> = (0..size).map(make).collect();
     let mut turn = 0;
     bencher.bench_local(|| {
         turn += 1;
         let free = upstreams
             .iter_mut()
-            .filter(|plain| plain.running < plain.quota);
-        let best = free.min_by_key(|plain| {
-            let load = (u64::from(plain.running) << 32) / u64::from(plain.quota);
-            (plain.zone != home, load, plain.latency, plain.turn)
+            .filter(|candidate| candidate.running < candidate.quota);
+        let best = free.min_by_key(|candidate| {
+            let load = (u64::from(candidate.running) << 32) / u64::from(candidate.quota);
+            (
+                candidate.zone != home,
+                load,
+                candidate.latency,
+                candidate.turn,
+            )
         });
-        if let Some(plain) = best {
-            plain.running += 1;
-            plain.turn = turn;
-            black_box(plain.upstream);
-            plain.running -= 1;
-            plain.latency = (plain.latency * 15 + black_box(20_000)) / 16;
+        if let Some(candidate) = best {
+            candidate.running += 1;
+            candidate.turn = turn;
+            black_box(candidate.upstream);
+            candidate.running -= 1;
+            candidate.latency = (candidate.latency * 15 + black_box(20_000)) / 16;
         }
     });
 }
--- a/crates/route/benches/divide.rs
+++ b/crates/route/benches/divide.rs
@@ -1,4 +1,4 @@
-//! Cost of the target parts of one entry, computed for each report.
+//! Cost of computing the target quotas of one entry, which happens for each report.
 
 use divan::{
     Bencher,
@@ -20,7 +20,7 @@
 
 /// Eight entries in four zones, over the upstreams of one pool.
 #[divan::bench(args = [8, 50, 1_400])]
-fn parts(bencher: Bencher<'_, '_>, size: u64) {
+fn quotas(bencher: Bencher<'_, '_>, size: u64) {
     let mut arena = SlotMap::with_key();
     let zones: [availability_zone::Key; 4] = [(); 4].map(|()| arena.insert(()));
     let zone = |id: u64| zones[usize::try_from(id % 4).unwrap_or(0)];
--- a/crates/route/src/estimate/mod.rs
+++ b/crates/route/src/estimate/mod.rs
@@ -1,4 +1,4 @@
-//! Learned durations.
+//! Durations estimated from samples.
 
 mod estimate;
 
--- a/crates/route/src/health/mod.rs
+++ b/crates/route/src/health/mod.rs
@@ -1,4 +1,4 @@
-//! Health of one upstream as learned from attempts.
+//! Health of one upstream, derived from the results of attempts.
 
 mod health;
 mod window;
--- a/crates/route/src/health/window.rs
+++ b/crates/route/src/health/window.rs
@@ -1,15 +1,15 @@
-//! Failure ratio over a sliding window.
+//! Share of failed attempts over a sliding window.
 
 use sassafrascrank_base::prelude::*;
 
 /// Length of each of the two buckets; the window covers between one and two of them.
-const BUCKET: Duration = Duration::from_secs(5);
+const BUCKET_LENGTH: Duration = Duration::from_secs(5);
 
-/// Fewest attempts in the window for a ratio to mean anything.
-const SAMPLE_MIN: u32 = 10;
+/// Fewest attempts in the window for which the share of failures counts.
+const MIN_ATTEMPTS: u32 = 10;
 
-/// Failures per hundred attempts at which an upstream is ejected.
-const RATIO_LIMIT_PERCENT: u32 = 50;
+/// Percentage of failed attempts at which an upstream is ejected.
+const FAILURE_LIMIT_PERCENT: u32 = 50;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
@@ -29,8 +29,8 @@
     /// Counts one attempt.
     pub(crate) fn record(&mut self, now: Time, failed: bool) {
         let age = now.since(self.start);
-        if age >= BUCKET {
-            let adjacent = age < BUCKET * 2;
+        if age >= BUCKET_LENGTH {
+            let adjacent = age < BUCKET_LENGTH * 2;
             self.previous = if adjacent {
                 self.current
             } else {
@@ -43,12 +43,12 @@
         self.current.failures = self.current.failures.saturating_add(u32::from(failed));
     }
 
-    /// Tells whether too many attempts of the window failed.
-    pub(crate) fn exceeded(&self) -> bool {
+    /// Tells whether the share of failed attempts in the window has reached the limit.
+    pub(crate) fn is_over_limit(&self) -> bool {
         let attempts = self.current.attempts.saturating_add(self.previous.attempts);
         let failures = self.current.failures.saturating_add(self.previous.failures);
-        let over =
-            u64::from(failures) * 100 >= u64::from(attempts) * u64::from(RATIO_LIMIT_PERCENT);
-        attempts >= SAMPLE_MIN && over
+        let too_many_failed =
+            u64::from(failures) * 100 >= u64::from(attempts) * u64::from(FAILURE_LIMIT_PERCENT);
+        attempts >= MIN_ATTEMPTS && too_many_failed
     }
 }
--- a/crates/route/src/heap/heap.rs
+++ b/crates/route/src/heap/heap.rs
@@ -1,60 +1,60 @@
-//! Binary heap with the position of each item.
+//! Binary heap that knows the position of each item.
 
 use slotmap::{
     Key,
     SecondaryMap, //
 };
 
-/// Binary min-heap of keys by rank; a rank can be changed in place in logarithmic time.
+/// Binary min-heap of keys by rank; the rank of a key can be changed in logarithmic time.
 ///
-/// It grows only when an item is added, so a fixed set of items whose ranks change allocates nothing.
+/// It allocates only when an item is added, not when ranks change.
 #[derive(Debug)]
 pub(crate) struct Heap<K: Key, R> {
     nodes: Vec<(R, K)>,
-    places: SecondaryMap<K, usize>,
+    positions: SecondaryMap<K, usize>,
 }
 
 impl<K: Key, R: Copy + Ord> Heap<K, R> {
-    /// Makes an empty heap.
+    /// Creates an empty heap.
     pub(crate) fn new() -> Self {
         Self {
             nodes: Vec::new(),
-            places: SecondaryMap::new(),
+            positions: SecondaryMap::new(),
         }
     }
 
     /// Adds an item or changes its rank.
     pub(crate) fn set(&mut self, key: K, rank: R) {
-        let place = match self.places.get(key) {
-            Some(&place) => {
-                self.nodes[place].0 = rank;
-                place
+        let position = match self.positions.get(key) {
+            Some(&position) => {
+                self.nodes[position].0 = rank;
+                position
             }
             None => {
                 self.nodes.push((rank, key));
-                self.places.insert(key, self.nodes.len() - 1);
+                self.positions.insert(key, self.nodes.len() - 1);
                 self.nodes.len() - 1
             }
         };
-        self.settle(place);
+        self.restore_order(position);
     }
 
     /// Removes an item if it is present.
     pub(crate) fn remove(&mut self, key: K) {
-        let Some(place) = self.places.remove(key) else {
+        let Some(position) = self.positions.remove(key) else {
             return;
         };
-        self.nodes.swap_remove(place);
-        if let Some(&(_, moved)) = self.nodes.get(place) {
-            self.places.insert(moved, place);
-            self.settle(place);
+        self.nodes.swap_remove(position);
+        if let Some(&(_, moved)) = self.nodes.get(position) {
+            self.positions.insert(moved, position);
+            self.restore_order(position);
         }
     }
 
-    /// Makes room for a number of items in all, so that adding them allocates nothing.
+    /// Reserves memory for this total number of items, so that adding them does not allocate.
     pub(crate) fn reserve(&mut self, items: usize) {
         self.nodes.reserve(items.saturating_sub(self.nodes.len()));
-        self.places.set_capacity(items);
+        self.positions.set_capacity(items);
     }
 
     /// Returns the item with the lowest rank.
@@ -62,7 +62,7 @@
         self.nodes.first().copied()
     }
 
-    /// Returns the item with the lowest rank apart from one item.
+    /// Returns the item with the lowest rank, leaving out `avoid`.
     pub(crate) fn first_except(&self, avoid: Option<K>) -> Option<(R, K)> {
         let first = self.first()?;
         if Some(first.1) != avoid {
@@ -75,29 +75,29 @@
 
     /// Returns the number of items for which memory is held.
     pub(crate) fn capacity(&self) -> usize {
-        self.nodes.capacity() + self.places.capacity()
+        self.nodes.capacity() + self.positions.capacity()
     }
 
-    fn settle(&mut self, place: usize) {
-        let place = self.rise(place);
-        self.sink(place);
+    fn restore_order(&mut self, position: usize) {
+        let position = self.sift_up(position);
+        self.sift_down(position);
     }
 
-    fn rise(&mut self, mut place: usize) -> usize {
-        while place > 0 {
-            let parent = (place - 1) / 2;
-            if self.nodes[parent].0 <= self.nodes[place].0 {
+    fn sift_up(&mut self, mut position: usize) -> usize {
+        while position > 0 {
+            let parent = (position - 1) / 2;
+            if self.nodes[parent].0 <= self.nodes[position].0 {
                 break;
             }
-            self.swap(parent, place);
-            place = parent;
+            self.swap(parent, position);
+            position = parent;
         }
-        place
+        position
     }
 
-    fn sink(&mut self, mut place: usize) {
+    fn sift_down(&mut self, mut position: usize) {
         loop {
-            let left = 2 * place + 1;
+            let left = 2 * position + 1;
             if left >= self.nodes.len() {
                 return;
             }
@@ -105,17 +105,17 @@
             let right_is_lower =
                 right < self.nodes.len() && self.nodes[right].0 < self.nodes[left].0;
             let child = if right_is_lower { right } else { left };
-            if self.nodes[place].0 <= self.nodes[child].0 {
+            if self.nodes[position].0 <= self.nodes[child].0 {
                 return;
             }
-            self.swap(place, child);
-            place = child;
+            self.swap(position, child);
+            position = child;
         }
     }
 
-    fn swap(&mut self, one: usize, other: usize) {
-        self.nodes.swap(one, other);
-        self.places.insert(self.nodes[one].1, one);
-        self.places.insert(self.nodes[other].1, other);
+    fn swap(&mut self, first: usize, second: usize) {
+        self.nodes.swap(first, second);
+        self.positions.insert(self.nodes[first].1, first);
+        self.positions.insert(self.nodes[second].1, second);
     }
 }
--- a/crates/route/src/heap/mod.rs
+++ b/crates/route/src/heap/mod.rs
@@ -1,4 +1,4 @@
-//! Heap whose items can change their rank.
+//! Priority queue whose items can change their rank.
 
 mod heap;
 
--- a/crates/route/src/partition/demand.rs
+++ b/crates/route/src/partition/demand.rs
@@ -2,73 +2,74 @@
 
 use sassafrascrank_base::prelude::*;
 
-/// Units of demand for one slot.
+/// Units of demand in one slot: demand is counted in thousandths of a slot.
 pub const MILLISLOTS_PER_SLOT: u64 = 1_000;
 
-/// Time between two steps of the decay.
-const STEP: Duration = Duration::from_millis(50);
+/// Time between two steps by which the smoothed demand falls.
+const DECAY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Part of the difference that one step removes, as a divisor; 93% are gone after 1 s.
-const STEP_DIVISOR: u64 = 8;
+/// Divisor of the difference that one step removes; 93% of it are gone after 1 s.
+const DECAY_DIVISOR: u64 = 8;
 
-/// Steps after which the rest of the difference doesn't matter.
-const STEP_LIMIT: u128 = 128;
+/// Steps after which the rest of the difference is negligible.
+const DECAY_STEP_LIMIT: u128 = 128;
 
-/// A report changes only if demand moved by more than this part of it, as a divisor, or by more than a slot.
+/// Divisor of the reported demand that gives the change below which the report stays as it is, at least one slot.
 ///
-/// Each moved slot is unused for one interval, so parts must not follow noise.
-const HOLD_DIVISOR: u64 = 16;
+/// Each slot that moves between entries is unused for one report interval, so quotas must not follow noise.
+const REPORT_TOLERANCE_DIVISOR: u64 = 16;
 
 /// Slots that one entry could use, smoothed over 1 s.
 ///
-/// A rise counts at once, because the work is already waiting; a fall decays.
+/// A rise counts at once, because the requests are already waiting; a fall is smoothed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
+    /// Current demand in thousandths of a slot, like the two below.
     wanted: u64,
-    smooth: u64,
-    stepped: Time,
+    smoothed: u64,
+    last_step: Time,
     reported: u64,
 }
 
 impl Demand {
-    /// Makes a demand of nothing.
+    /// Creates a demand of 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes how many requests are running or queued from now on.
+    /// Records how many requests are running or queued from now on.
     ///
-    /// The slots of the zone are divided by this number, so the caller should count no more of a customer than its
-    /// contract covers; otherwise a flood at one entry takes the slots of customers at the others.
+    /// The slots of the zone are divided by this number. The caller should count no more requests of a customer than
+    /// its contract covers; otherwise a flood at one entry takes the slots of customers at the others.
     pub fn record(&mut self, now: Time, requests: u32) {
         self.advance(now);
         self.wanted = u64::from(requests) * MILLISLOTS_PER_SLOT;
-        self.smooth = self.smooth.max(self.wanted);
+        self.smoothed = self.smoothed.max(self.wanted);
     }
 
-    /// Returns the value for the next report, in thousandths of a slot.
+    /// Returns the demand for the next report, in thousandths of a slot.
     pub fn report(&mut self, now: Time) -> u64 {
         self.advance(now);
-        let tolerance = (self.reported / HOLD_DIVISOR).max(MILLISLOTS_PER_SLOT);
-        let moved = self.reported.abs_diff(self.smooth) > tolerance;
-        // An entry that has become idle must not hold on to its last slot's worth of demand.
-        if moved || self.smooth < MILLISLOTS_PER_SLOT {
-            self.reported = self.smooth;
+        let tolerance = (self.reported / REPORT_TOLERANCE_DIVISOR).max(MILLISLOTS_PER_SLOT);
+        let moved = self.reported.abs_diff(self.smoothed) > tolerance;
+        // An entry that has become idle must not keep reporting its last slot of demand.
+        if moved || self.smoothed < MILLISLOTS_PER_SLOT {
+            self.reported = self.smoothed;
         }
         self.reported
     }
 
     fn advance(&mut self, now: Time) {
-        let steps = now.since(self.stepped).as_micros() / STEP.as_micros();
-        if steps > STEP_LIMIT {
-            self.smooth = self.wanted;
-            self.stepped = now;
+        let steps = now.since(self.last_step).as_micros() / DECAY_INTERVAL.as_micros();
+        if steps > DECAY_STEP_LIMIT {
+            self.smoothed = self.wanted;
+            self.last_step = now;
             return;
         }
         for _ in 0..steps {
-            let gap = self.smooth - self.wanted;
-            self.smooth -= gap.div_ceil(STEP_DIVISOR);
-            self.stepped = self.stepped + STEP;
+            let gap = self.smoothed - self.wanted;
+            self.smoothed -= gap.div_ceil(DECAY_DIVISOR);
+            self.last_step = self.last_step + DECAY_INTERVAL;
         }
     }
 }
--- a/crates/route/src/partition/hash.rs
+++ b/crates/route/src/partition/hash.rs
@@ -1,9 +1,9 @@
 //! Rendezvous hash.
 
-/// Mixes two identities into a number that every process computes alike.
+/// Hashes two identities; the result is the same in every process and version.
 ///
-/// The hashers of the standard library promise no stable result between versions, and entries of two versions must
-/// agree during an upgrade. These are the SplitMix64 constants.
+/// The hashers of the standard library promise no stable result between versions, but entries of different versions
+/// must agree during an upgrade. The constants are those of SplitMix64.
 pub(crate) fn mix(one: u64, other: u64) -> u64 {
     let start = scramble(one.wrapping_add(0x9e37_79b9_7f4a_7c15));
     scramble(start ^ other.wrapping_add(0x9e37_79b9_7f4a_7c15))
--- a/crates/route/src/partition/quota.rs
+++ b/crates/route/src/partition/quota.rs
@@ -1,27 +1,27 @@
-//! A part of an upstream's slots that takes effect without overlap.
+//! Quota of one entry at one upstream, which grows only after others have given up the slots.
 
 use sassafrascrank_base::prelude::*;
 
 /// Time between two reports of an entry.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Most steps of growth that wait at once; a further step waits for the next call.
-const STEP_LIMIT: usize = 4;
+/// Most increases that wait at once; a further one is taken up by a later call.
+const PENDING_LIMIT: usize = 4;
 
-/// Slots of one upstream that this entry uses, and growth that has to wait.
+/// Slots of one upstream that this entry may use, and increases that have to wait.
 ///
-/// The part is the lowest target of the last report interval: it shrinks at once, and it grows only after the
-/// entries that lose the slots have had one interval to hear of it.
+/// The quota is the lowest target of the last report interval. It shrinks at once, and it grows only after the entries
+/// that lose the slots have had one interval to learn of it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Quota {
     slots: u32,
-    /// Targets above the part, rising, each with the time since which no lower one was seen.
-    steps: [(u32, Time); STEP_LIMIT],
+    /// Targets above the quota in ascending order, each with the time since which no lower target was set.
+    pending: [(u32, Time); PENDING_LIMIT],
     len: usize,
 }
 
 impl Quota {
-    /// Starts with slots that are in force at once.
+    /// Creates a quota of `slots` that is in force at once.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
@@ -34,40 +34,41 @@
         self.slots
     }
 
-    /// Takes the present target and returns the slots in force.
+    /// Sets the current target and returns the slots in force; due at least once in each report interval.
     pub fn set_target(&mut self, now: Time, target: u32) -> u32 {
-        self.ripen(now);
+        self.apply_due(now);
         if target <= self.slots {
             self.slots = target;
             self.len = 0;
             return self.slots;
         }
-        self.push(now, target);
+        self.add_pending(now, target);
         self.slots
     }
 
-    /// Puts those steps into force that have waited for one interval.
-    fn ripen(&mut self, now: Time) {
-        let waiting = &self.steps[..self.len];
-        let ripe = waiting.partition_point(|(_, since)| now.since(*since) >= REPORT_INTERVAL);
-        if ripe == 0 {
+    /// Puts those increases into force that have waited for one interval.
+    fn apply_due(&mut self, now: Time) {
+        let waiting = &self.pending[..self.len];
+        let due = waiting.partition_point(|(_, since)| now.since(*since) >= REPORT_INTERVAL);
+        if due == 0 {
             return;
         }
-        self.slots = self.steps[ripe - 1].0;
-        self.steps.copy_within(ripe..self.len, 0);
-        self.len -= ripe;
+        self.slots = self.pending[due - 1].0;
+        self.pending.copy_within(due..self.len, 0);
+        self.len -= due;
     }
 
-    fn push(&mut self, now: Time, target: u32) {
-        let lower = self.steps[..self.len].partition_point(|(slots, _)| *slots < target);
+    fn add_pending(&mut self, now: Time, target: u32) {
+        let lower = self.pending[..self.len].partition_point(|(slots, _)| *slots < target);
         if lower < self.len {
-            // The lowest of the higher targets has been wanted for longest, so its time holds for the new target.
-            self.steps[lower].0 = target;
+            // Since the time of the lowest higher target, no target was lower than it, so that time holds for the new
+            // target, too.
+            self.pending[lower].0 = target;
             self.len = lower + 1;
             return;
         }
-        if self.len < STEP_LIMIT {
-            self.steps[self.len] = (target, now);
+        if self.len < PENDING_LIMIT {
+            self.pending[self.len] = (target, now);
             self.len += 1;
         }
     }
--- a/crates/route/src/router/attributes.rs
+++ b/crates/route/src/router/attributes.rs
@@ -1,30 +1,30 @@
-//! Facts about an upstream.
+//! What the router is told about an upstream: its attributes, draining, and the results of attempts.
 
 use sassafrascrank_base::prelude::*;
 
-/// Place and size of an upstream.
+/// Availability zone and size of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Attributes {
     /// Where the upstream runs.
     pub availability_zone: availability_zone::Key,
-    /// Requests that it runs at once, from all entries together.
+    /// Requests that it can run at once, from all entries together.
     pub slots: u32,
 }
 
-/// Where it became known that an upstream is leaving.
+/// How this entry learned that an upstream is leaving.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainSource {
     /// The platform's host list.
     List,
-    /// A response header of the upstream.
+    /// A header in a response of the upstream.
     Response,
     /// The upstream closed its connections and refuses new ones.
     Connection,
-    /// Another entry.
+    /// The report of another entry.
     Peer,
 }
 
-/// How one attempt at an upstream ended.
+/// Result of one attempt to run a request at an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptResult {
     /// It answered after this time.
@@ -33,12 +33,12 @@
     Failed(Duration),
     /// It refused the connection; nothing was sent.
     Unreachable,
-    /// An idle connection had been closed; nothing was sent, and that says nothing about its health.
+    /// The idle connection had been closed; nothing was sent, and that says nothing about the health of the upstream.
     Stale,
     /// The connection broke after the request may have been sent.
     Lost,
     /// It did not answer in time.
     TimedOut,
-    /// The caller went away; says nothing about the upstream.
+    /// The caller went away; that says nothing about the health of the upstream.
     Cancelled,
 }
--- a/crates/route/src/router/status.rs
+++ b/crates/route/src/router/status.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a router.
+//! State and counters of a router, for operators.
 
 use super::{
     Attributes,
@@ -10,9 +10,9 @@
 /// Since when and why an upstream drains.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Drain {
-    /// When the first source came.
+    /// When this entry first learned of it.
     pub since: Time,
-    /// The first source.
+    /// How this entry first learned of it.
     pub source: DrainSource,
 }
 
@@ -21,32 +21,32 @@
 pub struct Status {
     /// The upstream.
     pub upstream: upstream::Key,
-    /// Its place and size.
+    /// Its availability zone and size.
     pub attributes: Attributes,
     /// Slots of it that this entry may use.
     pub quota: u32,
     /// Slots that this entry uses.
     pub running: u32,
-    /// Whether it drains.
+    /// Since when it drains, if it does.
     pub drain: Option<Drain>,
-    /// Whether its health lets it take work.
+    /// Whether its health lets it take requests.
     pub state: HealthState,
-    /// Learned time of an answer, if it has answered.
+    /// Average time until it answers, if it has answered.
     pub latency: Option<Duration>,
 }
 
-/// Numbers of events since the router was made.
+/// Numbers of events since the router was created.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counters {
     /// Slots taken.
     pub chosen: u64,
     /// Slots taken outside of the entry's own availability zone.
     pub spilled: u64,
-    /// Choices without a usable upstream.
+    /// Choices that found no upstream with a free slot.
     pub exhausted: u64,
     /// Ejections.
     pub ejected: u64,
-    /// Failures that would have ejected an upstream but for the limit on ejections.
+    /// Ejections that did not happen because of the limit on ejections.
     pub withheld: u64,
     /// Probes sent.
     pub probes: u64,
@@ -54,10 +54,10 @@
     pub recovered: u64,
     /// Ejected upstreams returned early because the pool shrank.
     pub reinstated: u64,
-    /// First drain signs, in the order of the declaration of [`DrainSource`].
+    /// Upstreams that began to drain, by [`DrainSource`] in the order of its declaration.
     pub drained: [u64; 4],
     /// Calls that named an unknown upstream.
     pub unknown: u64,
-    /// Upstreams not inserted because the router or its list of zones was full.
+    /// Upstreams that were not added because the router had too many upstreams or zones.
     pub refused: u64,
 }
--- a/crates/route/src/router/zone.rs
+++ b/crates/route/src/router/zone.rs
@@ -1,8 +1,8 @@
-//! Upstreams of one availability zone in the order of preference.
+//! Upstreams of one availability zone, ordered by preference.
 
 use super::member::{
-    Rank,
-    Slot, //
+    MemberKey,
+    Rank, //
 };
 use crate::heap::Heap;
 use sassafrascrank_base::prelude::*;
@@ -12,13 +12,13 @@
 pub(crate) struct Zone {
     pub(crate) key: availability_zone::Key,
     /// Every upstream of the zone; those without a free slot have the rank [`Rank::MAX`].
-    pub(crate) order: Heap<Slot, Rank>,
-    /// Sum of the limits of the upstreams.
+    pub(crate) order: Heap<MemberKey, Rank>,
+    /// Slots of all the upstreams that this entry may use now.
     pub(crate) slots: u32,
 }
 
 impl Zone {
-    /// Makes a zone without upstreams.
+    /// Creates a zone without upstreams.
     pub(crate) fn new(key: availability_zone::Key) -> Self {
         Self {
             key,
@@ -28,7 +28,7 @@
     }
 
     /// Returns the preferred upstream with a free slot.
-    pub(crate) fn best(&self, avoid: Option<Slot>) -> Option<(Rank, Slot)> {
+    pub(crate) fn best(&self, avoid: Option<MemberKey>) -> Option<(Rank, MemberKey)> {
         let best = self.order.first_except(avoid);
         best.filter(|(rank, _)| *rank != Rank::MAX)
     }
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A pool of upstreams with seeded behaviour, shared by the tests of the router.
+//! Simulation of one pool of upstreams with random service times, shared by the tests of the router.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -17,37 +17,40 @@
 };
 use slotmap::SlotMap;
 
-/// How an upstream treats a request.
+/// How an upstream responds to requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Behaviour {
-    /// Answers after 20 ms, give or take half.
+    /// Answers after 10 to 30 ms.
     Healthy,
     /// Answers with an error after 1 ms.
     FailsFast,
     /// Accepts and never answers; the attempt times out after 1 s.
     Silent,
-    /// Fails fast for 5 s, then is healthy for 5 s, and so on.
+    /// Alternates between 5 s of failing fast and 5 s of being healthy.
     Flaps,
 }
 
-/// A schedule of requests against the upstreams of one pool.
+/// The upstreams of one pool and the requests that run there.
 pub(crate) struct Pool {
     pub(crate) router: Router,
     pub(crate) home: availability_zone::Key,
     pub(crate) keys: Vec<upstream::Key>,
     pub(crate) behaviours: Vec<Behaviour>,
     pub(crate) now: Time,
+    /// Requests sent to each upstream since the last call of `take_sent`.
     pub(crate) sent: Vec<u64>,
+    /// Attempts that were not answered with success.
     pub(crate) failed: u64,
     pub(crate) quota: u32,
     arena: SlotMap<upstream::Key, ()>,
+    /// Attempts in flight: end, upstream and result.
     running: Vec<(Time, upstream::Key, AttemptResult)>,
     random: StdRng,
     seed: u64,
 }
 
 impl Pool {
-    /// Makes a pool of healthy upstreams in one zone.
+    /// Creates a pool of healthy upstreams in one zone.
     pub(crate) fn new(seed: u64, size: usize, quota: u32) -> Self {
         let mut zones = SlotMap::with_key();
         let mut pool = Self {
@@ -99,30 +102,30 @@
 
     /// Returns the requests sent to each upstream since the last call.
     pub(crate) fn take_sent(&mut self) -> Vec<u64> {
-        let fresh = vec![0; self.sent.len()];
-        core::mem::replace(&mut self.sent, fresh)
+        let zeros = vec![0; self.sent.len()];
+        core::mem::replace(&mut self.sent, zeros)
     }
 
     /// Returns the state of one upstream.
-    pub(crate) fn status(&self, place: usize) -> Status {
-        self.router.status(self.keys[place]).expect("known")
+    pub(crate) fn status(&self, index: usize) -> Status {
+        self.router.status(self.keys[index]).expect("known")
     }
 
-    /// Returns the number of upstreams that are ejected or wait for a probe; draining ones don't count.
-    pub(crate) fn out(&self) -> usize {
-        let out = |state| matches!(state, HealthState::Ejected(_) | HealthState::Probing(_));
+    /// Returns the number of upstreams that are ejected or being probed; draining ones don't count.
+    pub(crate) fn out_of_service(&self) -> usize {
+        let is_out = |state| matches!(state, HealthState::Ejected(_) | HealthState::Probing(_));
         self.router
             .statuses()
-            .filter(|status| status.drain.is_none() && out(status.state))
+            .filter(|status| status.drain.is_none() && is_out(status.state))
             .count()
     }
 
     fn finish(&mut self) {
         let now = self.now;
         let router = &mut self.router;
-        self.running.retain(|&(end, key, report)| {
+        self.running.retain(|&(end, key, result)| {
             if end <= now {
-                router.release(end, key, report);
+                router.release(end, key, result);
             }
             end > now
         });
@@ -132,14 +135,14 @@
         let Some(key) = self.router.choose(self.now, self.home, false, None) else {
             return false;
         };
-        let place = self.place(key);
-        self.sent[place] += 1;
-        let status = self.status(place);
+        let index = self.index_of(key);
+        self.sent[index] += 1;
+        let status = self.status(index);
         let seed = self.seed;
         assert!(status.running <= status.quota, "seed {seed}: {status:?}");
-        let (time, report) = self.attempt(self.behaviours[place]);
-        self.failed += u64::from(!matches!(report, AttemptResult::Answered(_)));
-        self.running.push((self.now + time, key, report));
+        let (time, result) = self.attempt(self.behaviours[index]);
+        self.failed += u64::from(!matches!(result, AttemptResult::Answered(_)));
+        self.running.push((self.now + time, key, result));
         true
     }
 
@@ -159,7 +162,7 @@
         }
     }
 
-    fn place(&self, key: upstream::Key) -> usize {
+    fn index_of(&self, key: upstream::Key) -> usize {
         self.keys
             .iter()
             .position(|known| *known == key)
--- a/crates/route/tests/health.rs
+++ b/crates/route/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection, probing and return of upstreams.
+//! Ejection, probing and return to service of upstreams.
 
 mod common;
 
@@ -15,20 +15,20 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-const GAP: Duration = Duration::from_millis(2);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Returns requests to the first upstream and the mean of the others by 10 s, with its state.
+/// Returns a table by periods of 10 s: requests to the first upstream, mean of the others, and state of the first.
 fn timeline(pool: &mut Pool, periods: u32) -> String {
     let mut table = String::new();
     for _ in 0..periods {
-        let exhausted = pool.run(Duration::from_secs(10), GAP);
+        let exhausted = pool.run(Duration::from_secs(10), REQUEST_INTERVAL);
         let sent = pool.take_sent();
         let others = sent[1..].iter().sum::<u64>() / (sent.len() as u64 - 1);
         let state = match pool.status(0).state {
             HealthState::Ejected(until) => format!("ejected for {:?}", until.since(pool.now)),
             state => format!("{state:?}"),
         };
-        let out = pool.out();
+        let out = pool.out_of_service();
         let first = sent[0];
         writeln!(
             table,
@@ -39,7 +39,8 @@
     table
 }
 
-fn lose_and_regain(behaviour: Behaviour) -> String {
+/// Returns the requests to an upstream that misbehaves for 40 s and is healthy again for 50 s.
+fn fail_and_recover(behaviour: Behaviour) -> String {
     let mut table = String::new();
     for seed in SEEDS {
         let mut pool = Pool::new(seed, 8, 8);
@@ -52,19 +53,19 @@
     table
 }
 
-/// Guards against an upstream that fails at once, looks idle and draws all traffic.
+/// Guards against an upstream that fails at once, therefore looks idle, and gets all requests.
 #[test]
 fn failing_fast_upstream_loses_its_traffic_and_gets_it_back() {
-    insta::assert_snapshot!(lose_and_regain(Behaviour::FailsFast));
+    insta::assert_snapshot!(fail_and_recover(Behaviour::FailsFast));
 }
 
-/// Guards against an upstream that accepts and never answers, and so keeps slots until the attempts time out.
+/// Guards against an upstream that never answers and so holds slots until the attempts time out.
 #[test]
 fn silent_upstream_loses_its_traffic_and_gets_it_back() {
-    insta::assert_snapshot!(lose_and_regain(Behaviour::Silent));
+    insta::assert_snapshot!(fail_and_recover(Behaviour::Silent));
 }
 
-/// Guards against an upstream whose short good phases wipe out its history.
+/// Guards against short healthy phases of an upstream that reset the duration of its ejections.
 #[test]
 fn flapping_upstream_is_ejected_for_longer_each_time() {
     let mut table = String::new();
@@ -76,7 +77,7 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against a fault of all upstreams, such as a bad release or a bad request, that empties the pool.
+/// Guards against a fault of all upstreams, such as a bad release or a bad request, that ejects the whole pool.
 #[test]
 fn common_fault_ejects_at_most_a_third() {
     let mut table = String::new();
@@ -85,17 +86,21 @@
         pool.behaviours.fill(Behaviour::FailsFast);
         let mut most = 0;
         for _ in 0..3_000 {
-            pool.run(Duration::from_millis(10), GAP);
-            most = most.max(pool.out());
-            assert!(pool.out() <= limit, "seed 4: {} of {size}", pool.out());
+            pool.run(Duration::from_millis(10), REQUEST_INTERVAL);
+            most = most.max(pool.out_of_service());
+            assert!(
+                pool.out_of_service() <= limit,
+                "seed 4: {} of {size}",
+                pool.out_of_service()
+            );
         }
         let withheld = pool.router.counters().withheld > 0;
         pool.behaviours.fill(Behaviour::Healthy);
-        pool.run(Duration::from_secs(60), GAP);
+        pool.run(Duration::from_secs(60), REQUEST_INTERVAL);
         let failed = pool.failed;
-        let exhausted = pool.run(Duration::from_secs(10), GAP);
+        let exhausted = pool.run(Duration::from_secs(10), REQUEST_INTERVAL);
         let late = pool.failed - failed;
-        let out = pool.out();
+        let out = pool.out_of_service();
         writeln!(
             table,
             "{size:>2} upstreams: most out {most}, withheld {withheld}, 60 s later: out {out}, failed {late}, \
@@ -106,24 +111,25 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against a pool that is left with ejected upstreams only, because the others drained.
+/// Guards against a pool that has only ejected upstreams left after the others began to drain.
 #[test]
 fn shrinking_pool_takes_ejected_upstreams_back() {
     let mut pool = Pool::new(5, 9, 8);
     pool.behaviours[..3].fill(Behaviour::FailsFast);
-    pool.run(Duration::from_secs(10), GAP);
-    assert_eq!(pool.out(), 3);
-    for place in 3..9 {
-        let key = pool.keys[place];
+    pool.run(Duration::from_secs(10), REQUEST_INTERVAL);
+    assert_eq!(pool.out_of_service(), 3);
+    for index in 3..9 {
+        let key = pool.keys[index];
         pool.router
             .drain(pool.now, key, sassafrascrank_route::DrainSource::List);
     }
-    assert_eq!(pool.out(), 1);
+    assert_eq!(pool.out_of_service(), 1);
     assert_eq!(pool.router.counters().reinstated, 2);
     assert!(pool.router.slots(pool.home, false) >= 2);
 }
 
-/// Guards against an upstream whose failures never come in a row, and against ejection for a few of them.
+/// Guards against an upstream that fails often but never consecutively and stays in service, and against an ejection
+/// for a few failures.
 #[test]
 fn half_of_the_attempts_failing_ejects() {
     let answer = AttemptResult::Answered(Duration::from_millis(20));
@@ -132,8 +138,8 @@
         for attempt in 1..=40 {
             let chosen = pool.router.choose(pool.now, pool.home, false, None);
             let failed = attempt % every == 0;
-            let report = if failed { AttemptResult::Lost } else { answer };
-            pool.router.release(pool.now, pool.keys[0], report);
+            let result = if failed { AttemptResult::Lost } else { answer };
+            pool.router.release(pool.now, pool.keys[0], result);
             pool.now = pool.now + Duration::from_millis(100);
             if chosen.is_none() {
                 break;
@@ -143,18 +149,18 @@
     }
 }
 
-/// Guards against health that is learned from attempts which say nothing about the upstream.
+/// Guards against a change of health by attempts that say nothing about the upstream.
 #[test]
 fn stale_and_cancelled_attempts_leave_health_alone() {
     let mut pool = Pool::new(6, 3, 8);
     let now = pool.now;
-    for report in [AttemptResult::Stale, AttemptResult::Cancelled] {
+    for result in [AttemptResult::Stale, AttemptResult::Cancelled] {
         for _ in 0..100 {
             let key = pool.router.choose(now, pool.home, false, None).unwrap();
-            pool.router.release(now, key, report);
+            pool.router.release(now, key, result);
         }
     }
-    assert_eq!(pool.out(), 0);
+    assert_eq!(pool.out_of_service(), 0);
     assert_eq!(pool.router.counters().ejected, 0);
     assert!(
         pool.router
@@ -163,7 +169,7 @@
     );
 }
 
-/// Guards against a burst of requests to an upstream that may still be broken.
+/// Guards against a burst of requests to an upstream that may still be faulty.
 #[test]
 fn one_probe_at_a_time_and_growing_concurrency() {
     let mut pool = Pool::new(7, 1, 8);
@@ -176,11 +182,11 @@
     assert_eq!(pool.router.choose(now, home, false, None), None);
     now = pool.router.next_probe().unwrap();
     let mut table = String::new();
-    // A probe that the caller cancels decides nothing, so another one follows.
-    for report in [AttemptResult::Cancelled, AttemptResult::Stale] {
+    // A probe that was cancelled or not sent decides nothing, so another one follows.
+    for result in [AttemptResult::Cancelled, AttemptResult::Stale] {
         assert_eq!(pool.router.choose(now, home, false, None), Some(key));
         assert_eq!(pool.router.choose(now, home, false, None), None);
-        pool.router.release(now, key, report);
+        pool.router.release(now, key, result);
     }
     for _ in 0..10 {
         let mut taken = 0;
@@ -197,7 +203,7 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against attempts from before an ejection that lengthen it when they fail later.
+/// Guards against an ejection that gets longer because attempts from before it fail later.
 #[test]
 fn late_failures_do_not_lengthen_an_ejection() {
     let mut pool = Pool::new(8, 1, 8);
--- a/crates/route/tests/movement.rs
+++ b/crates/route/tests/movement.rs
@@ -1,131 +1,137 @@
-//! Movement of slots between entries whose views differ for a while.
+//! Movement of slots between entries that learn of changes at different times.
 
-mod fleet;
+mod simulation;
 
 use core::fmt::Write;
-use fleet::{
-    Fleet,
-    STEP, //
-};
 use sassafrascrank_base::prelude::*;
+use simulation::{
+    STEP,
+    Simulation, //
+};
 
 const SEEDS: u64 = 20;
 
-/// Entries and upstreams of one pool in one zone: a user of today, and a large pool.
+/// Numbers of entries and upstreams of one pool in one zone: a small and a large deployment.
 const SIZES: [(usize, u64); 2] = [(3, 4), (8, 20)];
 
-/// The longest that a report is on its way in these tests.
-const DELAY: Duration = Duration::from_millis(10);
+/// Longest time until a report arrives in these tests.
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(10);
 
-/// What a run showed.
+/// Use of the slots over a run, summed over its steps.
 #[derive(Debug, Default)]
-struct Sum {
+struct Usage {
+    /// Slots in use.
     used: u64,
-    could: u64,
-    /// Most slots promised twice at one moment.
+    /// Slots that the demand could use.
+    possible: u64,
+    /// Most slots assigned to two entries at one time.
     twice: u32,
-    /// How long any slot was promised twice.
+    /// How long any slot was assigned to two entries.
     overlap: Duration,
 }
 
-impl Sum {
-    /// Returns the slots in use in percent of those that could be.
+impl Usage {
+    /// Returns the slots in use as a percentage of those that could be.
     fn percent(&self) -> u64 {
-        100 * self.used / self.could.max(1)
+        100 * self.used / self.possible.max(1)
     }
 }
 
-fn run(fleet: &mut Fleet, span: Duration) -> Sum {
-    let end = fleet.now + span;
-    let mut sum = Sum::default();
-    while fleet.now < end {
-        let (used, twice) = fleet.step();
-        let wanted = fleet.nodes.iter().filter(|node| node.alive);
+fn run(simulation: &mut Simulation, span: Duration) -> Usage {
+    let end = simulation.now + span;
+    let mut usage = Usage::default();
+    while simulation.now < end {
+        let (used, twice) = simulation.step();
+        let wanted = simulation.nodes.iter().filter(|node| node.alive);
         let wanted: u32 = wanted.map(|node| node.wanted).sum();
-        sum.used += u64::from(used);
-        sum.could += u64::from(wanted.min(fleet.total));
-        sum.twice = sum.twice.max(twice);
-        sum.overlap += STEP * u32::from(twice > 0);
+        usage.used += u64::from(used);
+        usage.possible += u64::from(wanted.min(simulation.total));
+        usage.twice = usage.twice.max(twice);
+        usage.overlap += STEP * u32::from(twice > 0);
     }
-    sum
+    usage
 }
 
-/// Makes a settled fleet at a random phase, whose first entry wants more than all slots.
-fn settled(seed: u64, (entries, upstreams): (usize, u64)) -> Fleet {
-    let mut fleet = Fleet::new(seed, entries, upstreams);
-    fleet.nodes[0].wanted = fleet.total * 3 / 2;
-    run(&mut fleet, Duration::from_secs(4));
-    let span = fleet.moment().since(fleet.now);
-    let sum = run(&mut fleet, span);
-    assert_eq!(sum.twice, 0, "seed {seed}: {sum:?}");
-    fleet
+/// Returns a simulation in a steady state, at a random time between reports.
+///
+/// The first entry wants more than all slots.
+fn settled(seed: u64, (entries, upstreams): (usize, u64)) -> Simulation {
+    let mut simulation = Simulation::new(seed, entries, upstreams);
+    simulation.nodes[0].wanted = simulation.total * 3 / 2;
+    run(&mut simulation, Duration::from_secs(4));
+    let span = simulation.random_time().since(simulation.now);
+    let usage = run(&mut simulation, span);
+    assert_eq!(usage.twice, 0, "seed {seed}: {usage:?}");
+    simulation
 }
 
 /// Moves the demand of the first entry to the second.
-fn shift(fleet: &mut Fleet) {
-    fleet.nodes[1].wanted = core::mem::take(&mut fleet.nodes[0].wanted);
+fn move_demand(simulation: &mut Simulation) {
+    simulation.nodes[1].wanted = core::mem::take(&mut simulation.nodes[0].wanted);
 }
 
-/// Returns the time until an entry has so many slots; gives up after 10 s.
-fn until(fleet: &mut Fleet, place: usize, slots: u32) -> Duration {
-    let start = fleet.now;
-    while fleet.nodes[place].slots() < slots && fleet.now < start + Duration::from_secs(10) {
-        fleet.step();
+/// Returns the time until an entry has this number of slots, at most 10 s.
+fn time_until_slots(simulation: &mut Simulation, index: usize, slots: u32) -> Duration {
+    let start = simulation.now;
+    while simulation.nodes[index].slots() < slots
+        && simulation.now < start + Duration::from_secs(10)
+    {
+        simulation.step();
     }
-    fleet.now.since(start)
+    simulation.now.since(start)
 }
 
-/// Renders the lowest, the middle and the highest of some figures.
-fn spread(mut figures: Vec<Duration>) -> String {
-    figures.sort_unstable();
-    let middle = figures[figures.len() / 2];
-    let (first, last) = (figures[0], figures[figures.len() - 1]);
+/// Formats the lowest, the highest and the median duration.
+fn summary(mut durations: Vec<Duration>) -> String {
+    durations.sort_unstable();
+    let middle = durations[durations.len() / 2];
+    let (first, last) = (durations[0], durations[durations.len() - 1]);
     format!("{first:?} to {last:?}, median {middle:?}")
 }
 
-/// Guards against slots that stay with an entry whose demand has gone to another.
+/// Guards against slots that stay with an entry after its demand has moved to another entry.
 #[test]
 fn slots_follow_demand() {
     let mut table = String::new();
     for size in SIZES {
-        let (mut half, mut most) = (Vec::new(), Vec::new());
+        let (mut to_half, mut to_most) = (Vec::new(), Vec::new());
         for seed in 0..SEEDS {
-            let mut fleet = settled(seed, size);
-            let before = fleet.nodes[1].slots();
-            shift(&mut fleet);
-            let gain = fleet.total - (size.0 as u32 - 1) - before;
-            let first = until(&mut fleet, 1, before + gain / 2);
-            let rest = until(&mut fleet, 1, before + gain * 9 / 10);
-            // The target on the time until the slots have followed is 1 to 2 s.
+            let mut simulation = settled(seed, size);
+            let before = simulation.nodes[1].slots();
+            move_demand(&mut simulation);
+            let gain = simulation.total - (size.0 as u32 - 1) - before;
+            let first = time_until_slots(&mut simulation, 1, before + gain / 2);
+            let rest = time_until_slots(&mut simulation, 1, before + gain * 9 / 10);
+            // The target for the time until the slots have moved is 1 to 2 s.
             assert!(first <= Duration::from_secs(2), "seed {seed}: {first:?}");
-            half.push(first);
-            most.push(first + rest);
+            to_half.push(first);
+            to_most.push(first + rest);
         }
-        writeln!(table, "{size:?}: half after {}", spread(half)).unwrap();
-        writeln!(table, "{size:?}: 90% after {}", spread(most)).unwrap();
+        writeln!(table, "{size:?}: half after {}", summary(to_half)).unwrap();
+        writeln!(table, "{size:?}: 90% after {}", summary(to_most)).unwrap();
     }
     insta::assert_snapshot!(table);
 }
 
-/// Guards against a slot that two entries use while demand wanders and every report arrives.
+/// Guards against a slot that two entries use at once while demand moves and no report is lost.
 #[test]
-fn wandering_demand_uses_no_slot_twice() {
+fn moving_demand_uses_no_slot_twice() {
     let mut table = String::new();
     for size in SIZES {
         for seconds in [5, 10, 20] {
-            let (mut used, mut could) = (0, 0);
+            let (mut used, mut possible) = (0, 0);
             for seed in 0..3 {
-                let mut fleet = settled(seed, size);
+                let mut simulation = settled(seed, size);
                 for turn in 0..4 {
-                    let wanted = core::mem::take(&mut fleet.nodes[turn % size.0].wanted);
-                    fleet.nodes[(turn + 1) % size.0].wanted = wanted;
-                    let sum = run(&mut fleet, Duration::from_secs(seconds));
-                    assert_eq!(sum.twice, 0, "seed {seed}: {sum:?}");
-                    used += sum.used;
-                    could += sum.could;
+                    let wanted = core::mem::take(&mut simulation.nodes[turn % size.0].wanted);
+                    simulation.nodes[(turn + 1) % size.0].wanted = wanted;
+                    let usage = run(&mut simulation, Duration::from_secs(seconds));
+                    assert_eq!(usage.twice, 0, "seed {seed}: {usage:?}");
+                    used += usage.used;
+                    possible += usage.possible;
                 }
             }
-            let percent = 100 * used / could;
+            let percent = 100 * used / possible;
             writeln!(
                 table,
                 "{size:?}: a move each {seconds:>2} s uses {percent}%"
@@ -141,42 +147,43 @@
 fn backlogged_entries_use_all_slots() {
     for size in SIZES {
         for seed in 0..3 {
-            let mut fleet = settled(seed, size);
-            for place in 0..size.0 {
-                fleet.nodes[place].wanted = fleet.total;
+            let mut simulation = settled(seed, size);
+            for index in 0..size.0 {
+                simulation.nodes[index].wanted = simulation.total;
             }
-            run(&mut fleet, Duration::from_secs(4));
-            let sum = run(&mut fleet, Duration::from_secs(5));
-            assert!(sum.percent() >= 98, "seed {seed}: {sum:?}");
+            run(&mut simulation, Duration::from_secs(4));
+            let usage = run(&mut simulation, Duration::from_secs(5));
+            assert!(usage.percent() >= 98, "seed {seed}: {usage:?}");
         }
     }
 }
 
-/// Guards against an overlap beyond its bound when reports of a gaining entry are lost.
+/// Guards against slots used by two entries for longer than the bound when reports are lost.
 ///
-/// Each lost report after the first lets the loser keep the moved slots for one more interval.
+/// The reports are those of an entry that gains slots. Each lost one after the first lets the entry that loses the
+/// slots keep them for one more interval.
 #[test]
 fn lost_reports_overlap_for_a_bounded_time() {
     let mut table = String::new();
     for lost in 0..3 {
         let (mut twice, mut overlap) = (0, Vec::new());
         for seed in 0..SEEDS {
-            let mut fleet = settled(seed, SIZES[0]);
-            fleet.nodes[1].wanted = fleet.total * 3 / 2;
-            fleet.nodes[1].lose = lost;
-            let sum = run(&mut fleet, Duration::from_secs(6));
+            let mut simulation = settled(seed, SIZES[0]);
+            simulation.nodes[1].wanted = simulation.total * 3 / 2;
+            simulation.nodes[1].reports_to_lose = lost;
+            let usage = run(&mut simulation, Duration::from_secs(6));
             let intervals = Duration::from_secs(1) * lost.saturating_sub(1);
             let bound = if lost == 0 {
                 Duration::ZERO
             } else {
-                intervals + DELAY + STEP
+                intervals + MAX_REPORT_DELAY + STEP
             };
-            assert!(sum.overlap <= bound, "seed {seed}: {sum:?}");
-            assert!(sum.twice <= fleet.total, "seed {seed}: {sum:?}");
-            twice = twice.max(sum.twice);
-            overlap.push(sum.overlap);
+            assert!(usage.overlap <= bound, "seed {seed}: {usage:?}");
+            assert!(usage.twice <= simulation.total, "seed {seed}: {usage:?}");
+            twice = twice.max(usage.twice);
+            overlap.push(usage.overlap);
         }
-        let overlap = spread(overlap);
+        let overlap = summary(overlap);
         writeln!(
             table,
             "{lost} lost: at most {twice} of 32 slots twice, for {overlap}"
@@ -186,69 +193,73 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against an overlap that outlasts a cut between entries, or exceeds one use by each side.
+/// Guards against slots that two entries still use after the network between them works again, and against more than
+/// one use on each side before.
 #[test]
 fn cut_off_entry_overlaps_until_the_cut_ends() {
     let mut table = String::new();
     for seed in 0..3 {
-        let mut fleet = settled(seed, SIZES[0]);
-        fleet.nodes[1].wanted = fleet.total * 3 / 2;
-        run(&mut fleet, Duration::from_secs(4));
-        fleet.nodes[1].connected = false;
-        let cut = run(&mut fleet, Duration::from_secs(10));
-        assert!(cut.twice <= fleet.total, "seed {seed}: {cut:?}");
-        fleet.nodes[1].connected = true;
-        let heal = run(&mut fleet, Duration::from_secs(1) + DELAY + STEP);
-        let after = run(&mut fleet, Duration::from_secs(5));
+        let mut simulation = settled(seed, SIZES[0]);
+        simulation.nodes[1].wanted = simulation.total * 3 / 2;
+        run(&mut simulation, Duration::from_secs(4));
+        simulation.nodes[1].connected = false;
+        let cut = run(&mut simulation, Duration::from_secs(10));
+        assert!(cut.twice <= simulation.total, "seed {seed}: {cut:?}");
+        simulation.nodes[1].connected = true;
+        let after_cut = run(
+            &mut simulation,
+            Duration::from_secs(1) + MAX_REPORT_DELAY + STEP,
+        );
+        let after = run(&mut simulation, Duration::from_secs(5));
         assert_eq!(after.twice, 0, "seed {seed}: {after:?}");
         writeln!(
             table,
             "seed {seed}: cut of 10 s: {} of 32 slots twice for {:?}, then for {:?}",
-            cut.twice, cut.overlap, heal.overlap
+            cut.twice, cut.overlap, after_cut.overlap
         )
         .unwrap();
     }
     insta::assert_snapshot!(table);
 }
 
-/// Guards against slots that stay with a crashed entry, and against a new one that takes slots in use.
+/// Guards against slots that stay with a crashed entry, and against a new entry that takes slots which are in use.
 #[test]
-fn crashed_and_new_entries() {
+fn crashed_entry_loses_its_slots_and_a_new_one_starts_with_one() {
     let mut table = String::new();
     for size in SIZES {
-        let (mut gone, mut twice, mut overlap) = (Vec::new(), 0, Vec::new());
+        let (mut to_free, mut twice, mut overlap) = (Vec::new(), 0, Vec::new());
         for seed in 0..SEEDS {
-            let mut fleet = settled(seed, size);
-            fleet.nodes[1].wanted = fleet.total * 3 / 2;
-            run(&mut fleet, Duration::from_secs(4));
-            fleet.nodes[1].alive = false;
-            let all = fleet.total - (size.0 as u32 - 2);
-            let free = until(&mut fleet, 0, all);
-            // 3 s of silence, one interval of growth, and one look for silent peers.
+            let mut simulation = settled(seed, size);
+            simulation.nodes[1].wanted = simulation.total * 3 / 2;
+            run(&mut simulation, Duration::from_secs(4));
+            simulation.nodes[1].alive = false;
+            let all = simulation.total - (size.0 as u32 - 2);
+            let free = time_until_slots(&mut simulation, 0, all);
+            // 3 s without a report, one interval until quotas grow, and one check for silent entries.
             assert!(
-                free <= Duration::from_millis(4_100) + DELAY,
+                free <= Duration::from_millis(4_100) + MAX_REPORT_DELAY,
                 "seed {seed}: {free:?}"
             );
-            gone.push(free);
-            fleet.restart(1);
-            assert_eq!(fleet.nodes[1].slots(), 1, "seed {seed}");
-            let sum = run(&mut fleet, Duration::from_secs(6));
-            // One slot until the first report, which these entries send within an interval.
-            let bound = Duration::from_secs(1) + DELAY + STEP;
+            to_free.push(free);
+            simulation.restart(1);
+            assert_eq!(simulation.nodes[1].slots(), 1, "seed {seed}");
+            let usage = run(&mut simulation, Duration::from_secs(6));
+            // One slot until its first report, which is sent within one interval.
+            let bound = Duration::from_secs(1) + MAX_REPORT_DELAY + STEP;
             assert!(
-                sum.twice <= 1 && sum.overlap <= bound,
-                "seed {seed}: {sum:?}"
+                usage.twice <= 1 && usage.overlap <= bound,
+                "seed {seed}: {usage:?}"
             );
-            twice = twice.max(sum.twice);
-            overlap.push(sum.overlap);
+            twice = twice.max(usage.twice);
+            overlap.push(usage.overlap);
         }
         writeln!(
             table,
             "{size:?}: slots of a crashed entry after {}",
-            spread(gone)
+            summary(to_free)
         )
         .unwrap();
-        let overlap = spread(overlap);
+        let overlap = summary(overlap);
         writeln!(
             table,
             "{size:?}: new entry: {twice} slot twice for {overlap}"
@@ -258,33 +269,33 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against entries that all start at once and each take everything, or nothing.
+/// Guards against entries that all start at once and each take all slots, or none.
 #[test]
-fn restart_of_all_entries() {
+fn restart_of_all_entries_uses_all_slots() {
     let mut table = String::new();
     for size in SIZES {
         let (mut twice, mut overlap, mut full) = (0, Vec::new(), Vec::new());
         for seed in 0..SEEDS {
-            let mut fleet = settled(seed, size);
-            for place in 0..size.0 {
-                fleet.nodes[place].wanted = fleet.total;
-                fleet.restart(place);
+            let mut simulation = settled(seed, size);
+            for index in 0..size.0 {
+                simulation.nodes[index].wanted = simulation.total;
+                simulation.restart(index);
             }
-            let start = fleet.now;
-            let mut early = Sum::default();
-            while early.percent() < 95 && fleet.now < start + Duration::from_secs(10) {
-                early = run(&mut fleet, STEP);
+            let start = simulation.now;
+            let mut early = Usage::default();
+            while early.percent() < 95 && simulation.now < start + Duration::from_secs(10) {
+                early = run(&mut simulation, STEP);
                 twice = twice.max(early.twice);
-                let late = fleet.now.since(start) > Duration::from_secs(2) + DELAY;
+                let late = simulation.now.since(start) > Duration::from_secs(2) + MAX_REPORT_DELAY;
                 assert!(!late || early.twice == 0, "seed {seed}: {early:?}");
-                // Each has one slot until it has heard of the others.
+                // Each entry has one slot until it has reports of the others.
                 assert!(early.twice <= size.0 as u32, "seed {seed}: {early:?}");
             }
-            full.push(fleet.now.since(start));
-            overlap.push(run(&mut fleet, Duration::from_secs(5)).overlap);
+            full.push(simulation.now.since(start));
+            overlap.push(run(&mut simulation, Duration::from_secs(5)).overlap);
         }
-        writeln!(table, "{size:?}: 95% in use after {}", spread(full)).unwrap();
-        let overlap = spread(overlap);
+        writeln!(table, "{size:?}: 95% in use after {}", summary(full)).unwrap();
+        let overlap = summary(overlap);
         writeln!(
             table,
             "{size:?}: at most {twice} slots twice, later for {overlap}"
--- a/crates/route/tests/partition.rs
+++ b/crates/route/tests/partition.rs
@@ -27,7 +27,7 @@
 }
 
 impl View {
-    /// Makes a view from the demands in slots and the number of upstreams by zone.
+    /// Creates a view from the demands of entries in slots, and the number of upstreams, by zone.
     fn new(demands: &[&[u64]], upstreams: &[u64]) -> Self {
         let mut arena = SlotMap::with_key();
         let mut view = Self {
@@ -35,19 +35,19 @@
             entries: Vec::new(),
             upstreams: Vec::new(),
         };
-        for (place, zone) in view.zones.iter().enumerate() {
-            let place = place as u64;
-            let entries = demands[place as usize].iter().zip(0..);
+        for (zone_index, zone) in view.zones.iter().enumerate() {
+            let zone_index = zone_index as u64;
+            let entries = demands[zone_index as usize].iter().zip(0..);
             view.entries.extend(entries.map(|(demand, index)| Entry {
-                id: 100 * (place + 1) + index,
+                id: 100 * (zone_index + 1) + index,
                 availability_zone: *zone,
                 demand: demand * 1_000,
                 spill: demand * 1_000,
                 heard: NOW,
             }));
-            let rows = 0..upstreams[place as usize];
+            let rows = 0..upstreams[zone_index as usize];
             view.upstreams.extend(rows.map(|row| Upstream {
-                id: 1_000 * (place + 1) + row,
+                id: 1_000 * (zone_index + 1) + row,
                 availability_zone: *zone,
                 slots: 8,
             }));
@@ -55,26 +55,26 @@
         view
     }
 
-    fn parts(&self, entry: usize) -> Vec<u32> {
+    fn quotas(&self, entry: usize) -> Vec<u32> {
         let me = self.entries[entry].id;
         target_quotas(NOW, me, &self.entries, &self.upstreams)
     }
 
     fn all(&self) -> Vec<Vec<u32>> {
         (0..self.entries.len())
-            .map(|entry| self.parts(entry))
+            .map(|entry| self.quotas(entry))
             .collect()
     }
 
-    /// Renders the slots of each entry by zone.
+    /// Formats the slots of each entry by zone.
     fn table(&self) -> String {
         let mut table = String::new();
-        for (entry, parts) in self.entries.iter().zip(self.all()) {
+        for (entry, quotas) in self.entries.iter().zip(self.all()) {
             let by_zone: Vec<u32> = self
                 .zones
                 .iter()
                 .map(|zone| {
-                    let rows = self.upstreams.iter().zip(&parts);
+                    let rows = self.upstreams.iter().zip(&quotas);
                     let here = rows.filter(|(upstream, _)| upstream.availability_zone == *zone);
                     here.map(|(_, slots)| slots).sum()
                 })
@@ -91,9 +91,9 @@
     }
 }
 
-/// Guards against a slot that two entries use, or none, although all entries hold the same view.
+/// Guards against a slot that goes to two entries or to none although all entries have the same view.
 #[test]
-fn parts_add_up_whatever_the_order_of_the_view() {
+fn quotas_add_up_whatever_the_order_of_the_view() {
     for seed in 0..200 {
         let mut random = StdRng::seed_from_u64(seed);
         let zones = random.random_range(1..5);
@@ -111,7 +111,7 @@
         }
         let all = view.all();
         for (row, upstream) in view.upstreams.iter().enumerate() {
-            let sum: u32 = all.iter().map(|parts| parts[row]).sum();
+            let sum: u32 = all.iter().map(|quotas| quotas[row]).sum();
             assert_eq!(sum, upstream.slots, "seed {seed}, row {row}: {all:?}");
         }
         view.entries.reverse();
@@ -121,14 +121,14 @@
     }
 }
 
-/// Guards against a rounding that gives all remainders to the same entry.
+/// Guards against rounding that gives all remainders to the same entry.
 #[test]
 fn equal_demand_shares_remainders() {
     let mut table = String::new();
     for entries in [2, 3, 5, 7, 8] {
         let view = View::new(&[&vec![9; entries]], &[7]);
         let all = view.all();
-        let totals: Vec<u32> = all.iter().map(|parts| parts.iter().sum()).collect();
+        let totals: Vec<u32> = all.iter().map(|quotas| quotas.iter().sum()).collect();
         let (low, high) = (totals.iter().min().unwrap(), totals.iter().max().unwrap());
         assert!(high - low <= 1, "{totals:?}");
         writeln!(
@@ -141,7 +141,7 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against an idle entry that can't start work, and against a flood that takes all slots.
+/// Guards against an idle entry that can't run a first request, and against a flood at one entry that takes all slots.
 #[test]
 fn division_by_demand_keeps_a_minimum() {
     let mut table = String::new();
@@ -154,14 +154,14 @@
         [1_000, 10, 0],
     ] {
         let view = View::new(&[&demands], &[5]);
-        let least = (0..3).map(|entry| view.parts(entry).iter().sum::<u32>());
+        let least = (0..3).map(|entry| view.quotas(entry).iter().sum::<u32>());
         assert!(least.min() >= Some(1), "{demands:?}");
         writeln!(table, "{}", view.table()).unwrap();
     }
     insta::assert_snapshot!(table);
 }
 
-/// Guards against work of another zone that displaces the zone's own work.
+/// Guards against requests from other zones that displace the requests of a zone.
 #[test]
 fn other_zones_get_only_what_is_left_free() {
     let mut table = String::new();
@@ -183,23 +183,23 @@
 
 /// Guards against slots that stay with a dead entry, and against an entry that counts itself as dead.
 #[test]
-fn silent_entry_loses_its_part_after_the_limit() {
+fn silent_entry_loses_its_quota_after_the_limit() {
     let mut view = View::new(&[&[10, 10]], &[2]);
     view.entries[1].heard = NOW - Duration::from_millis(2_999);
-    assert_eq!(view.parts(0).iter().sum::<u32>(), 8);
+    assert_eq!(view.quotas(0).iter().sum::<u32>(), 8);
     view.entries[1].heard = NOW - Duration::from_secs(3);
-    assert_eq!(view.parts(0).iter().sum::<u32>(), 16);
-    assert_eq!(view.parts(1).iter().sum::<u32>(), 8);
+    assert_eq!(view.quotas(0).iter().sum::<u32>(), 16);
+    assert_eq!(view.quotas(1).iter().sum::<u32>(), 8);
 }
 
-/// Guards against a new entry that has to wait for its peers, or takes more than one slot before they know it.
+/// Guards against a new entry that must wait for other entries, or uses more than one slot before they know of it.
 #[test]
 fn new_entry_starts_with_one_slot() {
     let view = View::new(&[&[0], &[0]], &[5, 5]);
     for id in 0..50 {
-        let parts = initial_quotas(id, view.zones[0], &view.upstreams);
-        assert_eq!(parts.iter().sum::<u32>(), 1, "{id}");
-        assert_eq!(parts[..5].iter().sum::<u32>(), 1, "{id}");
+        let quotas = initial_quotas(id, view.zones[0], &view.upstreams);
+        assert_eq!(quotas.iter().sum::<u32>(), 1, "{id}");
+        assert_eq!(quotas[..5].iter().sum::<u32>(), 1, "{id}");
     }
 }
 
@@ -212,31 +212,31 @@
         let after = View::new(&[&[to, 60, 60, 60]], &[20]).all();
         let pairs = before.iter().flatten().zip(after.iter().flatten());
         let moved: u32 = pairs.map(|(old, new)| new.saturating_sub(*old)).sum();
-        let sum = |parts: &[Vec<u32>]| parts[0].iter().sum::<u32>();
-        let due = sum(&after).abs_diff(sum(&before));
+        let sum = |quotas: &[Vec<u32>]| quotas[0].iter().sum::<u32>();
+        let needed = sum(&after).abs_diff(sum(&before));
         writeln!(
             table,
-            "demand {from} to {to} of 160 slots: {moved} moved, {due} needed"
+            "demand {from} to {to} of 160 slots: {moved} moved, {needed} needed"
         )
         .unwrap();
     }
     insta::assert_snapshot!(table);
 }
 
-/// Guards against a part that grows before the loser of the slots has heard of it, or that shrinks late.
+/// Guards against a quota that grows before the entry that loses the slots knows of it, or that shrinks late.
 #[test]
-fn part_is_the_lowest_target_of_the_last_interval() {
+fn quota_is_the_lowest_target_of_the_last_interval() {
     for seed in 0..200 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut part = Quota::new(0);
+        let mut quota = Quota::new(0);
         let mut seen: Vec<(Time, u32)> = vec![(NOW, 0)];
         let mut now = NOW;
         for _ in 0..300 {
             now = now + Duration::from_millis(random.random_range(1..400));
             let target = random.random_range(0..9);
-            let slots = part.set_target(now, target);
+            let slots = quota.set_target(now, target);
             seen.push((now, target));
-            // The target that was in force when the interval began counts too.
+            // The last target that was set before the interval counts, too.
             let began = now - Duration::from_secs(1);
             let first = seen.partition_point(|(time, _)| *time <= began);
             let lowest = seen[first.saturating_sub(1)..]
@@ -244,17 +244,17 @@
                 .map(|(_, target)| *target);
             let lowest = lowest.min().unwrap();
             assert!(slots <= lowest, "seed {seed}: {slots} > {lowest}");
-            assert_eq!(slots, part.slots());
+            assert_eq!(slots, quota.slots());
         }
         for _ in 0..12 {
             now = now + Duration::from_millis(500);
-            part.set_target(now, 8);
+            quota.set_target(now, 8);
         }
-        assert_eq!(part.slots(), 8, "seed {seed}");
+        assert_eq!(quota.slots(), 8, "seed {seed}");
     }
 }
 
-/// Guards against parts that follow noise, or a demand that never falls.
+/// Guards against reports that follow noise, and against a demand that never falls.
 #[test]
 fn demand_rises_at_once_and_decays_within_a_second() {
     let mut demand = Demand::new();
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! Choice of an upstream, quotas and bounds.
+//! Choice of an upstream, quotas, and bounds of the router.
 
 mod common;
 
@@ -18,7 +18,7 @@
 };
 use slotmap::SlotMap;
 
-const REPORTS: [AttemptResult; 7] = [
+const RESULTS: [AttemptResult; 7] = [
     AttemptResult::Answered(Duration::from_millis(9)),
     AttemptResult::Failed(Duration::from_millis(2)),
     AttemptResult::Unreachable,
@@ -28,7 +28,7 @@
     AttemptResult::Cancelled,
 ];
 
-/// Guards against traffic that crosses zones, ignores quotas or prefers a slow upstream.
+/// Guards against choices that cross zones without need, exceed quotas or prefer a slow upstream.
 #[test]
 fn own_zone_then_load_then_latency() {
     let mut zones = SlotMap::with_key();
@@ -61,7 +61,7 @@
     insta::assert_snapshot!(order);
 }
 
-/// Guards against a retry that goes to the upstream which has just failed the request.
+/// Guards against a retry at the upstream that has just failed the request.
 #[test]
 fn avoided_upstream_is_not_chosen() {
     let mut pool = Pool::new(1, 3, 1);
@@ -83,7 +83,7 @@
     );
 }
 
-/// Guards against a key of a removed upstream that acts on its successor.
+/// Guards against a key of a removed upstream that changes the state of its successor.
 #[test]
 fn stale_keys_are_ignored() {
     let mut zones = SlotMap::with_key();
@@ -115,19 +115,19 @@
     assert_eq!(router.slots(home, false), 1);
 }
 
-/// Guards against an order or total that goes wrong after some sequence of events; compares with a linear scan.
+/// Guards against an order or a total that becomes wrong after some sequence of events.
 #[test]
 fn random_events_agree_with_a_linear_scan() {
     let (mut ejected, mut recovered, mut reinstated) = (0, 0, 0);
     for seed in 0..40 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut pool = Pool::new(seed, 12, 3);
-        let mut held = Vec::new();
+        let mut in_flight = Vec::new();
         for event in 0..3_000 {
             pool.now = pool.now + Duration::from_millis(random.random_range(0..40));
-            // Good and bad phases take turns, so that upstreams are ejected and come back.
-            let good = if event / 500 % 2 == 0 { 0.2 } else { 1.0 };
-            step(&mut pool, &mut random, &mut held, good);
+            // Phases with many and with few failures alternate, so that upstreams are ejected and return to service.
+            let success_rate = if event / 500 % 2 == 0 { 0.2 } else { 1.0 };
+            step(&mut pool, &mut random, &mut in_flight, success_rate);
             check(&mut pool, seed);
         }
         let counters = pool.router.counters();
@@ -135,46 +135,53 @@
         recovered += counters.recovered;
         reinstated += counters.reinstated;
     }
-    // The schedules must reach each state, or the comparison shows nothing.
+    // The events must reach each state, or the comparison proves nothing.
     assert!(
         ejected >= 100 && recovered >= 20 && reinstated >= 20,
         "seeds 0 to 39"
     );
 }
 
-fn step(pool: &mut Pool, random: &mut StdRng, held: &mut Vec<upstream::Key>, good: f64) {
-    let place = random.random_range(0..pool.keys.len());
-    let key = pool.keys[place];
+/// Applies one random event to the router.
+fn step(
+    pool: &mut Pool,
+    random: &mut StdRng,
+    in_flight: &mut Vec<upstream::Key>,
+    success_rate: f64,
+) {
+    let index = random.random_range(0..pool.keys.len());
+    let key = pool.keys[index];
     match random.random_range(0..400) {
         0 => {
             pool.router.drain(pool.now, key, DrainSource::Peer);
         }
         1 => {
             pool.router.remove(key);
-            pool.keys.swap_remove(place);
+            pool.keys.swap_remove(index);
             pool.add(common::Behaviour::Healthy);
         }
         2..12 => pool.router.set_quota(key, random.random_range(0..5)),
-        12..210 => held.extend(pool.router.choose(
+        12..210 => in_flight.extend(pool.router.choose(
             pool.now,
             pool.home,
             false,
             random.random_bool(0.2).then_some(key),
         )),
-        _ if held.is_empty() => {}
+        _ if in_flight.is_empty() => {}
         _ => {
-            let key = held.swap_remove(random.random_range(0..held.len()));
-            let success = random.random_bool(good);
-            let report = REPORTS[if success {
+            let key = in_flight.swap_remove(random.random_range(0..in_flight.len()));
+            let success = random.random_bool(success_rate);
+            let result = RESULTS[if success {
                 0
             } else {
                 random.random_range(1..7)
             }];
-            pool.router.release(pool.now, key, report);
+            pool.router.release(pool.now, key, result);
         }
     }
 }
 
+/// Compares the totals of the router and one choice with a linear scan over all upstreams.
 fn check(pool: &mut Pool, seed: u64) {
     use sassafrascrank_route::HealthState;
 
@@ -219,7 +226,7 @@
             .map(|(load, _)| *load)
     };
     let lowest = loads.iter().map(|(load, _)| *load).min();
-    // Also shows that neither a full, draining, ejected nor avoided upstream is chosen: those have no load here.
+    // Full, draining, ejected and avoided upstreams have no load here, so this shows that none of them is chosen.
     assert_eq!(chosen.is_some(), lowest.is_some(), "seed {seed}");
     assert_eq!(chosen.and_then(load), lowest, "seed {seed}: {chosen:?}");
     if let Some(key) = chosen {
@@ -227,24 +234,24 @@
     }
 }
 
-/// Guards against allocation on the request path: the containers must not grow after warm-up.
+/// Guards against allocation on the request path after warm-up.
 #[test]
 fn capacity_is_constant_in_the_steady_state() {
     for size in [50, 1_400] {
         let mut random = StdRng::seed_from_u64(9);
         let mut pool = Pool::new(9, size, 4);
-        let mut held = Vec::new();
+        let mut in_flight = Vec::new();
         let mut after_warm_up = 0;
         for event in 0..60_000 {
             if event == 20_000 {
                 after_warm_up = pool.router.capacity();
             }
             pool.now = pool.now + Duration::from_millis(1);
-            held.extend(pool.router.choose(pool.now, pool.home, false, None));
-            if held.len() > size * 2 {
-                let key = held.swap_remove(random.random_range(0..held.len()));
-                let report = REPORTS[random.random_range(0..7)];
-                pool.router.release(pool.now, key, report);
+            in_flight.extend(pool.router.choose(pool.now, pool.home, false, None));
+            if in_flight.len() > size * 2 {
+                let key = in_flight.swap_remove(random.random_range(0..in_flight.len()));
+                let result = RESULTS[random.random_range(0..7)];
+                pool.router.release(pool.now, key, result);
             }
         }
         assert!(pool.router.counters().ejected > 0, "seed 9");
@@ -252,7 +259,7 @@
     }
 }
 
-/// Guards against one request of a wrong size that spoils the service time, on which deadlines depend.
+/// Guards against a single outlier that distorts the service time, on which deadlines depend.
 #[test]
 fn service_time_is_robust_to_outliers() {
     let mut pool = Pool::new(10, 1, 1);
@@ -277,7 +284,7 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against tables without a bound.
+/// Guards against tables that grow without bound.
 #[test]
 fn full_router_refuses_and_counts() {
     let mut zones: SlotMap<availability_zone::Key, ()> = SlotMap::with_key();
--- a/crates/route/tests/fleet/mod.rs
+++ b/crates/route/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Entries of one zone that exchange reports over a seeded network, each with its own view.
+//! Simulation of the entries of one zone that exchange reports with random delays, each with its own view.
 
 use rand::{
     RngExt,
@@ -17,50 +17,53 @@
 };
 use slotmap::SlotMap;
 
+/// Simulated time between two steps.
 pub(crate) const STEP: Duration = Duration::from_millis(5);
 
-/// Time until an entry looks for silent peers if no report comes.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time after which an entry checks for silent peers if no report arrives.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One entry process.
+/// One simulated entry.
 pub(crate) struct Node {
+    /// Requests that it could run at once.
     pub(crate) wanted: u32,
     pub(crate) alive: bool,
     /// Whether its reports reach the others, and theirs reach it.
     pub(crate) connected: bool,
-    /// Number of its next reports that are lost on the way to every other entry.
-    pub(crate) lose: u32,
+    /// Number of its next reports that are lost on the way to all other entries.
+    pub(crate) reports_to_lose: u32,
     demand: Demand,
-    parts: Vec<Quota>,
+    quotas: Vec<Quota>,
     targets: Vec<u32>,
     view: Vec<Entry>,
     next_report: Time,
-    next_look: Time,
+    next_silence_check: Time,
 }
 
 impl Node {
-    /// Returns the slots that it may use in all.
+    /// Returns the number of slots that it may use at all upstreams.
     pub(crate) fn slots(&self) -> u32 {
         if !self.alive {
             return 0;
         }
-        self.parts.iter().map(Quota::slots).sum()
+        self.quotas.iter().map(Quota::slots).sum()
     }
 }
 
-/// All entries, with the messages between them.
-pub(crate) struct Fleet {
+/// All entries and the reports between them.
+pub(crate) struct Simulation {
     pub(crate) nodes: Vec<Node>,
     pub(crate) now: Time,
     pub(crate) total: u32,
     zone: availability_zone::Key,
     upstreams: Vec<Upstream>,
+    /// Reports in flight: time of arrival, index of the receiver and report.
     messages: Vec<(Time, usize, Entry)>,
     random: StdRng,
 }
 
-impl Fleet {
-    /// Makes entries that start at random moments of the first second.
+impl Simulation {
+    /// Creates entries that send their first reports at random times of the first second.
     pub(crate) fn new(seed: u64, entries: usize, upstreams: u64) -> Self {
         let zone = SlotMap::with_key().insert(());
         let make = |row| Upstream {
@@ -69,7 +72,7 @@
             slots: 8,
         };
         let upstreams: Vec<Upstream> = (0..upstreams).map(make).collect();
-        let mut fleet = Self {
+        let mut simulation = Self {
             nodes: Vec::new(),
             now: Time::from_millis(1_000_000),
             total: upstreams.iter().map(|upstream| upstream.slots).sum(),
@@ -78,58 +81,58 @@
             messages: Vec::new(),
             random: StdRng::seed_from_u64(seed),
         };
-        for place in 0..entries {
-            let node = fleet.fresh(place);
-            fleet.nodes.push(node);
+        for index in 0..entries {
+            let node = simulation.new_node(index);
+            simulation.nodes.push(node);
         }
-        fleet
+        simulation
     }
 
-    /// Replaces a process by a new one that knows no peer.
-    pub(crate) fn restart(&mut self, place: usize) {
-        let wanted = self.nodes[place].wanted;
-        self.nodes[place] = self.fresh(place);
-        self.nodes[place].wanted = wanted;
+    /// Replaces an entry by a new process that knows no other entry.
+    pub(crate) fn restart(&mut self, index: usize) {
+        let wanted = self.nodes[index].wanted;
+        self.nodes[index] = self.new_node(index);
+        self.nodes[index].wanted = wanted;
     }
 
-    /// Returns a moment within the coming report interval.
-    pub(crate) fn moment(&mut self) -> Time {
+    /// Returns a random time within the next report interval.
+    pub(crate) fn random_time(&mut self) -> Time {
         self.now + Duration::from_millis(self.random.random_range(0..1_000))
     }
 
-    /// Runs one step; returns the slots in use and the slots that are promised twice.
+    /// Runs one step; returns the number of slots in use and of those assigned to two entries.
     pub(crate) fn step(&mut self) -> (u32, u32) {
         self.now = self.now + STEP;
         self.deliver();
-        for place in 0..self.nodes.len() {
-            if self.nodes[place].alive {
-                self.act(place);
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].alive {
+                self.step_node(index);
             }
         }
         let alive = || self.nodes.iter().filter(|node| node.alive);
         let used = alive().map(|node| node.wanted.min(node.slots())).sum();
         let rows = self.upstreams.iter().enumerate();
         let twice = rows.map(|(row, upstream)| {
-            let promised: u32 = alive().map(|node| node.parts[row].slots()).sum();
+            let promised: u32 = alive().map(|node| node.quotas[row].slots()).sum();
             promised.saturating_sub(upstream.slots)
         });
         (used, twice.sum())
     }
 
-    fn fresh(&mut self, place: usize) -> Node {
-        let id = place as u64;
-        let parts = initial_quotas(id, self.zone, &self.upstreams);
+    fn new_node(&mut self, index: usize) -> Node {
+        let id = index as u64;
+        let quotas = initial_quotas(id, self.zone, &self.upstreams);
         Node {
             wanted: 0,
             alive: true,
             connected: true,
-            lose: 0,
+            reports_to_lose: 0,
             demand: Demand::new(),
-            targets: parts.clone(),
-            parts: parts.into_iter().map(Quota::new).collect(),
+            targets: quotas.clone(),
+            quotas: quotas.into_iter().map(Quota::new).collect(),
             view: Vec::new(),
-            next_report: self.moment(),
-            next_look: Time::MIN,
+            next_report: self.random_time(),
+            next_silence_check: Time::MIN,
         }
     }
 
@@ -141,7 +144,7 @@
             }
             let node = &mut nodes[to];
             if node.alive && node.connected {
-                node.learn(Entry {
+                node.record_report(Entry {
                     heard: now,
                     ..entry
                 });
@@ -150,43 +153,43 @@
         });
     }
 
-    fn act(&mut self, place: usize) {
+    fn step_node(&mut self, index: usize) {
         let now = self.now;
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         node.demand.record(now, node.wanted);
         if now >= node.next_report {
             node.next_report = node.next_report + REPORT_INTERVAL;
             let demand = node.demand.report(now);
             let entry = Entry {
-                id: place as u64,
+                id: index as u64,
                 availability_zone: self.zone,
                 demand,
                 spill: 0,
                 heard: now,
             };
-            node.learn(entry);
-            let lost = node.lose > 0 || !node.connected;
-            node.lose = node.lose.saturating_sub(1);
-            for to in (0..self.nodes.len()).filter(|to| *to != place && !lost) {
+            node.record_report(entry);
+            let lost = node.reports_to_lose > 0 || !node.connected;
+            node.reports_to_lose = node.reports_to_lose.saturating_sub(1);
+            for to in (0..self.nodes.len()).filter(|to| *to != index && !lost) {
                 let delay = Duration::from_millis(self.random.random_range(1..10));
                 self.messages.push((now + delay, to, entry));
             }
         }
-        let node = &mut self.nodes[place];
-        if !node.view.is_empty() && now >= node.next_look {
-            node.next_look = now + LOOK;
-            node.targets = target_quotas(now, place as u64, &node.view, &self.upstreams);
+        let node = &mut self.nodes[index];
+        if !node.view.is_empty() && now >= node.next_silence_check {
+            node.next_silence_check = now + SILENCE_CHECK_INTERVAL;
+            node.targets = target_quotas(now, index as u64, &node.view, &self.upstreams);
         }
-        for (part, target) in node.parts.iter_mut().zip(&node.targets) {
-            part.set_target(now, *target);
+        for (quota, target) in node.quotas.iter_mut().zip(&node.targets) {
+            quota.set_target(now, *target);
         }
     }
 }
 
 impl Node {
-    fn learn(&mut self, entry: Entry) {
+    fn record_report(&mut self, entry: Entry) {
         self.view.retain(|known| known.id != entry.id);
         self.view.push(entry);
-        self.next_look = Time::MIN;
+        self.next_silence_check = Time::MIN;
     }
 }
