--- a/crates/retry/src/bucket.rs
+++ b/crates/retry/src/bucket.rs
@@ -1,42 +1,48 @@
-//! Token bucket.
+//! Token bucket for rate limits.
 
 use sassafrascrank_base::prelude::*;
 
-/// Microtokens in a token; integer arithmetic keeps replays exact.
-const SCALE: u64 = 1_000_000;
-/// Longest wait that is returned: a bucket without rate or burst never has a token, but its contract may change.
-const WAIT_LIMIT: Duration = Duration::from_secs(3_600);
-/// Smallest step back of the clock that counts as an adjustment.
+/// Unit of the level; with integers, a replay of the same calls gives exactly the same results.
+const MICROTOKENS_PER_TOKEN: u64 = 1_000_000;
+/// Longest wait that is returned.
 ///
-/// The bucket would otherwise stay empty until the clock reaches its earlier time. Smaller steps come from readings
-/// that arrive out of order; they gain nothing, or else each pair of them would add tokens.
-const STEP_MIN: Duration = Duration::from_secs(1);
+/// A bucket without rate or burst never has a token, but a later contract may change that.
+const MAX_WAIT: Duration = Duration::from_secs(3_600);
+/// Smallest step back of the time that counts as an adjustment of the clock.
+///
+/// After an adjustment, the bucket refills from the new time on; it would otherwise stay empty until the clock reaches
+/// the old time again. Smaller steps come from times that are passed out of order. They must not move the time of the
+/// last refill back, or each pair of such calls would add tokens.
+const MIN_CLOCK_ADJUSTMENT: Duration = Duration::from_secs(1);
 
-/// Token bucket that fills at a constant rate up to its burst size.
+/// Token bucket that refills at a constant rate up to its burst size.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
+    /// Tokens per second.
     per_second: u64,
+    /// Highest level in microtokens.
     burst: u64,
+    /// Microtokens in the bucket.
     level: u64,
-    filled: Time,
+    last_refill: Time,
 }
 
 impl Bucket {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     pub fn new(now: Time, per_second: u32, burst: u32) -> Self {
         Self {
             per_second: per_second.into(),
-            burst: u64::from(burst) * SCALE,
-            level: u64::from(burst) * SCALE,
-            filled: now,
+            burst: u64::from(burst) * MICROTOKENS_PER_TOKEN,
+            level: u64::from(burst) * MICROTOKENS_PER_TOKEN,
+            last_refill: now,
         }
     }
 
-    /// Changes rate and burst and keeps the level, as far as it fits.
+    /// Changes rate and burst; the level stays, but at most the new burst.
     pub fn resize(&mut self, now: Time, per_second: u32, burst: u32) {
-        self.fill(now);
+        self.refill(now);
         self.per_second = per_second.into();
-        self.burst = u64::from(burst) * SCALE;
+        self.burst = u64::from(burst) * MICROTOKENS_PER_TOKEN;
         self.level = self.level.min(self.burst);
     }
 
@@ -44,30 +50,30 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until a token will be there, at most an hour.
+    /// Returns the time until a token is available if none is. It is an hour for a bucket without rate or burst.
     pub fn take(&mut self, now: Time) -> Result<(), Duration> {
-        self.fill(now);
-        if self.level >= SCALE {
-            self.level -= SCALE;
+        self.refill(now);
+        if self.level >= MICROTOKENS_PER_TOKEN {
+            self.level -= MICROTOKENS_PER_TOKEN;
             return Ok(());
         }
         if self.per_second == 0 || self.burst == 0 {
-            return Err(WAIT_LIMIT);
+            return Err(MAX_WAIT);
         }
-        let missing = SCALE - self.level;
+        let missing = MICROTOKENS_PER_TOKEN - self.level;
         let wait = Duration::from_micros(missing.div_ceil(self.per_second));
-        // After a small step back of the clock, it fills only from the latest time on.
-        Err(wait + self.filled.since(now))
+        // After a small step back of the time, the bucket refills only from the latest time on.
+        Err(wait + self.last_refill.since(now))
     }
 
-    fn fill(&mut self, now: Time) {
-        if self.filled.since(now) >= STEP_MIN {
-            self.filled = now;
+    fn refill(&mut self, now: Time) {
+        if self.last_refill.since(now) >= MIN_CLOCK_ADJUSTMENT {
+            self.last_refill = now;
         }
-        let elapsed = u64::try_from(now.since(self.filled).as_micros()).unwrap_or(u64::MAX);
-        // Tokens a second are microtokens a microsecond.
+        let elapsed = u64::try_from(now.since(self.last_refill).as_micros()).unwrap_or(u64::MAX);
+        // Tokens per second equal microtokens per microsecond.
         let gained = elapsed.saturating_mul(self.per_second);
         self.level = self.level.saturating_add(gained).min(self.burst);
-        self.filled = self.filled.max(now);
+        self.last_refill = self.last_refill.max(now);
     }
 }
--- a/crates/retry/src/budget.rs
+++ b/crates/retry/src/budget.rs
@@ -1,43 +1,47 @@
-//! Retry budget.
+//! Budget that limits retries to a percentage of the requests.
 
-/// Hundredths of a retry in one retry.
-const SCALE: u32 = 100;
-/// Most retries that a budget saves up.
-const SAVED_LIMIT: u32 = 10;
+/// Credit that one retry costs; each request adds as much as the percentage.
+const CREDIT_PER_RETRY: u32 = 100;
+/// Most retries for which a budget saves credit.
+const MAX_SAVED_RETRIES: u32 = 10;
 
-/// Allows retries in proportion to requests.
+/// Allows retries up to a percentage of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     percent: u32,
-    saved: u32,
+    credit: u32,
 }
 
 impl Budget {
-    /// Makes a budget of `percent` retries for a hundred requests, with a full saving.
+    /// Creates a budget of `percent` retries for a hundred requests, with credit for 10 retries unless `percent` is 0.
     pub const fn new(percent: u32) -> Self {
-        let saved = if percent == 0 { 0 } else { SAVED_LIMIT * SCALE };
-        Self { percent, saved }
+        let credit = if percent == 0 {
+            0
+        } else {
+            MAX_SAVED_RETRIES * CREDIT_PER_RETRY
+        };
+        Self { percent, credit }
     }
 
-    /// Changes the percentage and keeps the saving.
+    /// Changes the percentage and keeps the credit; a percentage of 0 removes it.
     pub fn resize(&mut self, percent: u32) {
         self.percent = percent;
         if percent == 0 {
-            self.saved = 0;
+            self.credit = 0;
         }
     }
 
-    /// Credits one request.
+    /// Adds the credit of one request.
     pub fn earn(&mut self) {
-        let saved = self.saved.saturating_add(self.percent);
-        self.saved = saved.min(SAVED_LIMIT * SCALE);
+        let credit = self.credit.saturating_add(self.percent);
+        self.credit = credit.min(MAX_SAVED_RETRIES * CREDIT_PER_RETRY);
     }
 
-    /// Spends one retry if the budget allows it.
+    /// Spends the credit of one retry, and tells whether there was enough.
     pub fn spend(&mut self) -> bool {
-        let allowed = self.saved >= SCALE;
+        let allowed = self.credit >= CREDIT_PER_RETRY;
         if allowed {
-            self.saved -= SCALE;
+            self.credit -= CREDIT_PER_RETRY;
         }
         allowed
     }
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -1,4 +1,6 @@
-//! Token buckets, retry budgets and back-off.
+//! Token bucket for rate limits, and budget and back-off for retries.
+//!
+//! They do no I/O; the current time and random numbers are arguments.
 
 mod backoff;
 mod bucket;
--- a/crates/retry/tests/bucket.rs
+++ b/crates/retry/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! Token bucket: rates, limits of its arithmetic, clocks that step.
+//! Token bucket: rates, overflow, and clocks that step back.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_retry::Bucket;
@@ -34,7 +34,7 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Guards against more tokens than rate times time plus burst, and against fractions lost between calls.
+/// Guards against more tokens than rate times time plus burst, and against fractions of a token lost between calls.
 #[test]
 fn tokens_follow_the_rate() {
     let mut bucket = Bucket::new(at(0), 7, 3);
@@ -56,20 +56,20 @@
     assert_eq!(drain(&mut small, Time::MAX), 5);
 }
 
-/// Guards against a wait of a second that is promised by a bucket which never fills.
+/// Guards against a bucket that never refills but returns a short wait.
 #[test]
 fn bucket_without_rate_or_burst_asks_for_the_longest_wait() {
-    let mut still = Bucket::new(at(0), 0, 1);
-    assert_eq!(still.take(at(0)), Ok(()));
-    assert_eq!(still.take(at(0)), Err(HOUR));
-    assert_eq!(still.take(Time::MAX), Err(HOUR));
-    let mut flat = Bucket::new(at(0), 10, 0);
-    assert_eq!(flat.take(at(5_000)), Err(HOUR));
+    let mut without_rate = Bucket::new(at(0), 0, 1);
+    assert_eq!(without_rate.take(at(0)), Ok(()));
+    assert_eq!(without_rate.take(at(0)), Err(HOUR));
+    assert_eq!(without_rate.take(Time::MAX), Err(HOUR));
+    let mut without_burst = Bucket::new(at(0), 10, 0);
+    assert_eq!(without_burst.take(at(5_000)), Err(HOUR));
 }
 
-/// Guards against tokens gained by readings of the clock that come out of order.
+/// Guards against tokens gained by times that are passed out of order.
 #[test]
-fn small_steps_back_gain_nothing() {
+fn small_steps_back_add_no_tokens() {
     let mut bucket = Bucket::new(at(0), 10, 100);
     drain(&mut bucket, at(0));
     let mut taken = 0;
@@ -92,7 +92,7 @@
     assert_eq!(drain(&mut bucket, at(500)), 5);
 }
 
-/// Guards against a resize that mints tokens or forgets the time before it.
+/// Guards against a resize that adds tokens, or drops those gained before it.
 #[test]
 fn resize_keeps_the_level_within_the_burst() {
     let mut bucket = Bucket::new(at(0), 10, 10);
--- a/crates/retry/tests/budget.rs
+++ b/crates/retry/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget: proportion of retries, limit of the saving.
+//! Retry budget: percentage of retries, and limit of the credit.
 
 use sassafrascrank_retry::Budget;
 
@@ -6,7 +6,7 @@
     (0..1_000).take_while(|_| budget.spend()).count()
 }
 
-/// Guards against more retries than the percentage and the initial saving allow.
+/// Guards against more retries than the percentage and the initial credit allow.
 #[test]
 fn retries_follow_the_percentage() {
     let mut lines = String::new();
@@ -24,9 +24,9 @@
     insta::assert_snapshot!(lines);
 }
 
-/// Guards against a saving that grows without bound while nothing fails.
+/// Guards against credit that grows without bound while no request fails.
 #[test]
-fn saving_is_limited() {
+fn credit_is_limited() {
     let mut budget = Budget::new(10);
     (0..100_000).for_each(|_| budget.earn());
     assert_eq!(drain(&mut budget), 10);
@@ -40,9 +40,9 @@
     assert_eq!(drain(&mut budget), 10);
 }
 
-/// Guards against a saving that outlives a percentage of zero.
+/// Guards against credit that is kept although the percentage was set to zero.
 #[test]
-fn resize_to_zero_drops_the_saving() {
+fn resize_to_zero_drops_the_credit() {
     let mut budget = Budget::new(10);
     budget.resize(0);
     budget.earn();
