--- a/crates/claim/tests/faults.rs
+++ b/crates/claim/tests/faults.rs
@@ -17,7 +17,7 @@
 
 /// Runs the schedules of one fault for all seeds below `seeds`; without `fenced`, the fences are ignored.
 fn tally(fault: Fault, seeds: u64, fenced: bool) -> Tally {
-    let part = |first: u64| {
+    let run_seeds = |first: u64| {
         let mut sum = Tally::default();
         (first..seeds)
             .step_by(THREADS as usize)
@@ -27,7 +27,7 @@
     let mut sum = Tally::default();
     thread::scope(|scope| {
         let parts: Vec<_> = (0..THREADS)
-            .map(|first| scope.spawn(move || part(first)))
+            .map(|first| scope.spawn(move || run_seeds(first)))
             .collect();
         parts
             .into_iter()
--- a/crates/claim/tests/simulation/fault.rs
+++ b/crates/claim/tests/simulation/fault.rs
@@ -6,7 +6,7 @@
     None,
     /// An entry ends without a leave and starts again later.
     Crash,
-    /// An entry stands still and goes on later.
+    /// An entry stops running for a while and then goes on.
     Pause,
     /// One entry can't reach the log.
     LogCut,
--- a/crates/route/src/partition/demand.rs
+++ b/crates/route/src/partition/demand.rs
@@ -14,7 +14,7 @@
 /// Steps after which the rest of the difference is negligible.
 const DECAY_STEP_LIMIT: u128 = 128;
 
-/// Divisor of the reported demand that gives the change below which the report stays as it is, at least one slot.
+/// A report changes only if the demand moved by more than one slot and by more than the last report divided by this.
 ///
 /// Each slot that moves between entries is unused for one report interval, so quotas must not follow noise.
 const REPORT_TOLERANCE_DIVISOR: u64 = 16;
--- a/crates/route/src/partition/targets.rs
+++ b/crates/route/src/partition/targets.rs
@@ -93,7 +93,8 @@
 ///
 /// Each pair of an entry and an upstream gets its proportional share rounded down. What is left goes one slot at a time
 /// to the pairs in the order of their rendezvous hash, so that a small change of the totals moves few slots and no
-/// entry is preferred at every upstream. `assign` gets the index of the upstream, the index of the entry and the slots.
+/// entry is preferred at every upstream. `rows` are the indexes of the upstreams of the zone. `assign` gets the index
+/// of an upstream, the index of an entry and the number of slots.
 fn distribute(
     rows: &[usize],
     upstreams: &[Upstream],
--- a/crates/route/tests/movement.rs
+++ b/crates/route/tests/movement.rs
@@ -55,7 +55,7 @@
 /// Returns a simulation in a steady state, at a random time between reports.
 ///
 /// The first entry wants more than all slots.
-fn settled(seed: u64, (entries, upstreams): (usize, u64)) -> Simulation {
+fn steady_state(seed: u64, (entries, upstreams): (usize, u64)) -> Simulation {
     let mut simulation = Simulation::new(seed, entries, upstreams);
     simulation.nodes[0].wanted = simulation.total * 3 / 2;
     run(&mut simulation, Duration::from_secs(4));
@@ -96,7 +96,7 @@
     for size in SIZES {
         let (mut to_half, mut to_most) = (Vec::new(), Vec::new());
         for seed in 0..SEEDS {
-            let mut simulation = settled(seed, size);
+            let mut simulation = steady_state(seed, size);
             let before = simulation.nodes[1].slots();
             move_demand(&mut simulation);
             let gain = simulation.total - (size.0 as u32 - 1) - before;
@@ -121,7 +121,7 @@
         for seconds in [5, 10, 20] {
             let (mut used, mut possible) = (0, 0);
             for seed in 0..3 {
-                let mut simulation = settled(seed, size);
+                let mut simulation = steady_state(seed, size);
                 for turn in 0..4 {
                     let wanted = core::mem::take(&mut simulation.nodes[turn % size.0].wanted);
                     simulation.nodes[(turn + 1) % size.0].wanted = wanted;
@@ -147,7 +147,7 @@
 fn backlogged_entries_use_all_slots() {
     for size in SIZES {
         for seed in 0..3 {
-            let mut simulation = settled(seed, size);
+            let mut simulation = steady_state(seed, size);
             for index in 0..size.0 {
                 simulation.nodes[index].wanted = simulation.total;
             }
@@ -168,7 +168,7 @@
     for lost in 0..3 {
         let (mut twice, mut overlap) = (0, Vec::new());
         for seed in 0..SEEDS {
-            let mut simulation = settled(seed, SIZES[0]);
+            let mut simulation = steady_state(seed, SIZES[0]);
             simulation.nodes[1].wanted = simulation.total * 3 / 2;
             simulation.nodes[1].reports_to_lose = lost;
             let usage = run(&mut simulation, Duration::from_secs(6));
@@ -199,7 +199,7 @@
 fn cut_off_entry_overlaps_until_the_cut_ends() {
     let mut table = String::new();
     for seed in 0..3 {
-        let mut simulation = settled(seed, SIZES[0]);
+        let mut simulation = steady_state(seed, SIZES[0]);
         simulation.nodes[1].wanted = simulation.total * 3 / 2;
         run(&mut simulation, Duration::from_secs(4));
         simulation.nodes[1].connected = false;
@@ -229,7 +229,7 @@
     for size in SIZES {
         let (mut to_free, mut twice, mut overlap) = (Vec::new(), 0, Vec::new());
         for seed in 0..SEEDS {
-            let mut simulation = settled(seed, size);
+            let mut simulation = steady_state(seed, size);
             simulation.nodes[1].wanted = simulation.total * 3 / 2;
             run(&mut simulation, Duration::from_secs(4));
             simulation.nodes[1].alive = false;
@@ -276,7 +276,7 @@
     for size in SIZES {
         let (mut twice, mut overlap, mut full) = (0, Vec::new(), Vec::new());
         for seed in 0..SEEDS {
-            let mut simulation = settled(seed, size);
+            let mut simulation = steady_state(seed, size);
             for index in 0..size.0 {
                 simulation.nodes[index].wanted = simulation.total;
                 simulation.restart(index);
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -265,7 +265,7 @@
     let mut pool = Pool::new(10, 1, 1);
     let key = pool.keys[0];
     let mut table = String::new();
-    let mut learn = |label: &str, count: u32, time: Duration| {
+    let mut record = |label: &str, count: u32, time: Duration| {
         for _ in 0..count {
             pool.router
                 .choose(pool.now, pool.home, false, None)
@@ -275,12 +275,12 @@
         }
         writeln!(table, "{label}: {:?}", pool.router.service_time()).unwrap();
     };
-    learn("default", 0, Duration::ZERO);
-    learn("100 of 20 ms", 100, Duration::from_millis(20));
-    learn("one of an hour", 1, Duration::from_secs(3_600));
-    learn("20 of 20 ms", 20, Duration::from_millis(20));
-    learn("one of 1 us", 1, Duration::from_micros(1));
-    learn("100 of 200 ms", 100, Duration::from_millis(200));
+    record("default", 0, Duration::ZERO);
+    record("100 of 20 ms", 100, Duration::from_millis(20));
+    record("one of an hour", 1, Duration::from_secs(3_600));
+    record("20 of 20 ms", 20, Duration::from_millis(20));
+    record("one of 1 us", 1, Duration::from_micros(1));
+    record("100 of 200 ms", 100, Duration::from_millis(200));
     insta::assert_snapshot!(table);
 }
 
--- a/crates/route/tests/simulation/mod.rs
+++ b/crates/route/tests/simulation/mod.rs
@@ -113,8 +113,8 @@
         let used = alive().map(|node| node.wanted.min(node.slots())).sum();
         let rows = self.upstreams.iter().enumerate();
         let twice = rows.map(|(row, upstream)| {
-            let promised: u32 = alive().map(|node| node.quotas[row].slots()).sum();
-            promised.saturating_sub(upstream.slots)
+            let assigned: u32 = alive().map(|node| node.quotas[row].slots()).sum();
+            assigned.saturating_sub(upstream.slots)
         });
         (used, twice.sum())
     }
