--- a/crates/claim/src/table/handover.rs
+++ b/crates/claim/src/table/handover.rs
@@ -69,7 +69,8 @@
     ///
     /// While this entry is a member, `to` is another member; after its departure, `to` is one of its successors.
     /// Returns nothing if this entry has to hand over nothing to `to`. The table and the lease must belong to the same
-    /// entry. Between a call of [`Lease::apply`] and this one, no request may begin on an earlier decision of the lease.
+    /// entry. Between a call of [`Lease::apply`] and this one, no request may begin on an earlier decision of the
+    /// lease.
     pub fn export(&self, lease: &Lease, to: &Entry) -> Option<Handover<A>> {
         if to == lease.me() {
             return None;
