--- a/crates/fleet/examples/planner.rs
+++ b/crates/fleet/examples/planner.rs
@@ -1,4 +1,4 @@
-//! Prints planner time and log appends of a full wave at 50, 350 and 1,400 hosts.
+//! Measures the planner's run time and its log appends over a full wave of 50, 350 and 1,400 hosts.
 //!
 //! Run it with `cargo run --release -p sassafrascrank-fleet --example planner`.
 
@@ -74,21 +74,22 @@
         let mut inventory = build(hosts, pools);
         let start = rules.deadline(900) + TICK;
         let mut now = start;
-        let (mut offset, mut plans, mut quiet) = (1, 0, 0);
-        let (mut longest, mut total, mut idle) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
+        let (mut offset, mut plans, mut empty_plans) = (1, 0, 0);
+        let (mut longest, mut total, mut empty_time) =
+            (Duration::ZERO, Duration::ZERO, Duration::ZERO);
         let mut done = 0;
         while done < hosts {
             now = now + TICK;
             inventory.set_observed(now);
-            let began = Instant::now();
+            let started = Instant::now();
             let proposals = wave::plan(&inventory, &rules, now);
-            let span = began.elapsed();
-            longest = longest.max(span);
-            total += span;
+            let elapsed = started.elapsed();
+            longest = longest.max(elapsed);
+            total += elapsed;
             plans += 1;
             if proposals.is_empty() {
-                quiet += 1;
-                idle += span;
+                empty_plans += 1;
+                empty_time += elapsed;
             }
             done = 0;
             for proposal in proposals {
@@ -105,8 +106,8 @@
             }
         }
         let mean = total.as_micros() / plans;
-        let idle = idle.as_micros().checked_div(quiet).unwrap_or(0);
+        let empty_time = empty_time.as_micros().checked_div(empty_plans).unwrap_or(0);
         let (longest, appends) = (longest.as_micros(), offset - 1);
-        println!("{hosts} | {pools} | {appends} | {plans} | {longest} | {mean} | {idle}");
+        println!("{hosts} | {pools} | {appends} | {plans} | {longest} | {mean} | {empty_time}");
     }
 }
--- a/crates/fleet/src/budget/budget.rs
+++ b/crates/fleet/src/budget/budget.rs
@@ -1,6 +1,6 @@
-//! Availability of one pool.
+//! Availability budget of one pool.
 
-use super::domain::worked_zone;
+use super::domain::reserved_zone;
 use crate::inventory::{
     Host,
     Inventory, //
@@ -16,27 +16,27 @@
     pub assigned: usize,
     /// Hosts that must be available, rounded up to whole hosts.
     pub needed: usize,
-    /// Hosts that are voluntarily out of service.
+    /// Hosts that were deliberately taken out of service, for maintenance or for a move.
     pub reserved: usize,
-    /// Hosts that failed on their own and are not reserved.
+    /// Hosts that failed and are not reserved.
     pub failed: usize,
 }
 
-/// Why a host must stay in service now.
+/// Reason for which a host must not be taken out of service now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// One host less would take the pool below its budget.
+    /// Removing the host would take the pool below its budget.
     Budget(Budget),
     /// Hosts of another zone of the pool are out of service.
     Zone(availability_zone::Key),
-    /// The host fails, so that it is not the planner's to drain.
+    /// The host has failed, so there is no service to drain.
     Failed,
-    /// The platform has not said where the host stands.
+    /// The platform has not reported the zone of the host.
     ZoneUnknown,
 }
 
 impl Budget {
-    /// Counts the hosts of `pool` as `reservation` leaves them.
+    /// Counts the hosts of `pool`, given the absences in `reservation`.
     pub fn new(inventory: &Inventory, pool: pool::Key, reservation: &Reservation) -> Self {
         let mut budget = Self {
             assigned: 0,
@@ -58,17 +58,17 @@
         budget
     }
 
-    /// Returns the hosts that serve.
+    /// Returns the number of hosts that are in service.
     pub fn available(&self) -> usize {
         self.assigned - self.reserved - self.failed
     }
 
-    /// Returns how many more hosts may leave service.
+    /// Returns how many more hosts may be taken out of service.
     pub fn room(&self) -> usize {
         self.available().saturating_sub(self.needed)
     }
 
-    /// Returns whether enough hosts serve.
+    /// Returns whether enough hosts are in service.
     pub fn is_met(&self) -> bool {
         self.available() >= self.needed
     }
@@ -93,16 +93,16 @@
     }
 }
 
-/// Returns whether the host failed on its own, by a record or by the platform's report.
+/// Returns whether the host has failed, according to the reservation record or the platform's report.
 pub fn is_failed(host: &Host, reservation: &Reservation) -> bool {
     host.failed_since().is_some() || reservation.failed.contains_key(&host.name)
 }
 
-/// Checks whether `host` may leave service, given the absences in `reservation`.
+/// Checks whether `host` may be taken out of service, given the absences in `reservation`.
 ///
 /// # Errors
 ///
-/// Names the budget or the zone that forbids it.
+/// Returns the reason if the host must stay in service.
 pub fn check(
     inventory: &Inventory,
     pool: pool::Key,
@@ -115,10 +115,10 @@
     let Some((zone, _)) = host.location else {
         return Err(Refusal::ZoneUnknown);
     };
-    if let Some(worked) = worked_zone(inventory, pool, reservation)
-        && worked != zone
+    if let Some(reserved) = reserved_zone(inventory, pool, reservation)
+        && reserved != zone
     {
-        return Err(Refusal::Zone(worked));
+        return Err(Refusal::Zone(reserved));
     }
     let budget = Budget::new(inventory, pool, reservation);
     if budget.room() == 0 {
--- a/crates/fleet/src/budget/domain.rs
+++ b/crates/fleet/src/budget/domain.rs
@@ -1,4 +1,4 @@
-//! Availability of the failure domains of a pool.
+//! Availability of a pool by failure domain.
 
 use super::is_failed;
 use crate::inventory::{
@@ -14,13 +14,13 @@
 pub struct Domain {
     /// Hosts of the pool in the rack.
     pub assigned: usize,
-    /// Of these, hosts that are voluntarily out of service.
+    /// Those of them that were deliberately taken out of service.
     pub reserved: usize,
-    /// Of these, hosts that failed on their own and are not reserved.
+    /// Those of them that failed and are not reserved.
     pub failed: usize,
 }
 
-/// Counts the hosts of a pool by zone and rack.
+/// Counts the hosts of a pool by zone and rack; hosts whose location is unknown are left out.
 pub fn domains(
     inventory: &Inventory,
     pool: pool::Key,
@@ -28,10 +28,10 @@
 ) -> BTreeMap<(availability_zone::Key, rack::Key), Domain> {
     let mut domains = BTreeMap::new();
     for (_, host) in inventory.hosts(pool) {
-        let Some(place) = host.location else {
+        let Some(location) = host.location else {
             continue;
         };
-        let domain: &mut Domain = domains.entry(place).or_default();
+        let domain: &mut Domain = domains.entry(location).or_default();
         domain.assigned += 1;
         if reservation.hosts.contains_key(&host.name) {
             domain.reserved += 1;
@@ -42,11 +42,11 @@
     domains
 }
 
-/// Returns the zone in which hosts of the pool are voluntarily out of service.
+/// Returns the zone that the reserved hosts of the pool belong to, or `None` if there are none.
 ///
-/// Racks of one zone are worked on together: the zone is the domain whose loss the other hosts must survive,
-/// and a rack has too few hosts of one pool to fill the budget.
-pub fn worked_zone(
+/// Hosts in several racks of one zone may be out of service together: the pool must survive the loss of a whole zone,
+/// and a rack has too few hosts of one pool to use up the budget.
+pub fn reserved_zone(
     inventory: &Inventory,
     pool: pool::Key,
     reservation: &Reservation,
--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -1,4 +1,4 @@
-//! Availability of pools and failure domains, and whether a voluntary act fits.
+//! Availability of pools and failure domains, and whether a host may be taken out of service.
 
 mod budget;
 mod domain;
@@ -12,5 +12,5 @@
 pub use domain::{
     Domain,
     domains,
-    worked_zone, //
+    reserved_zone, //
 };
--- a/crates/fleet/src/explain/explain.rs
+++ b/crates/fleet/src/explain/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations with the records and figures that decided.
+//! Explanations of the state of a host or a pool, with the records and counts behind it.
 
 use crate::{
     budget::{
@@ -18,22 +18,22 @@
     Wave, //
 };
 
-/// Where a host stands in its pool's wave.
+/// State of a host in its pool's wave.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It is voluntarily out of service.
+    /// It was deliberately taken out of service.
     Absent(Absence),
-    /// It is done.
+    /// Its maintenance in this wave is complete, or it was skipped.
     Finished(Finish),
-    /// It must stay in service now.
+    /// It must stay in service for now.
     Blocked(Refusal),
-    /// The wave starts no drains.
+    /// The wave is paused or stopped and starts no drains.
     Halted(Progress),
-    /// It may leave service now.
+    /// It may be taken out of service now.
     Ready,
 }
 
-/// Records and figures behind the state of a host, or of a pool if `host` is `None`.
+/// Records and counts behind the state of a host, or of a pool if `host` is `None`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Explanation {
     /// The pool.
@@ -42,25 +42,25 @@
     pub policy_offset: u64,
     /// Offset of the pool's reservation, 0 if there is none.
     pub reservation_offset: u64,
-    /// The wave as the pool records it.
+    /// The wave as recorded in the pool's reservation.
     pub wave: Wave,
-    /// Availability of the pool.
+    /// Availability budget of the pool.
     pub budget: Budget,
     /// The host, the offset of its assignment and its state.
     pub host: Option<(Name, u64, State)>,
-    /// Zone that forbids the host to leave, if one does.
+    /// Zone whose reserved hosts prevent this one from leaving service, if that is the reason.
     pub zone: Option<Name>,
     /// Pool that the host moves to, if it moves.
     pub target: Option<Name>,
 }
 
-/// Explains the state of a pool; `None` if the key is stale.
+/// Explains the state of a pool; returns `None` if the pool no longer exists.
 pub fn explain_pool(inventory: &Inventory, key: pool::Key) -> Option<Explanation> {
     let pool = inventory.pool(key)?;
     Some(Explanation {
         pool: pool.name.clone(),
-        policy_offset: pool.offset,
-        reservation_offset: pool.basis.unwrap_or(0),
+        policy_offset: pool.policy_offset,
+        reservation_offset: pool.reservation_offset.unwrap_or(0),
         wave: pool.reservation.wave,
         budget: Budget::new(inventory, key, &pool.reservation),
         host: None,
@@ -69,7 +69,7 @@
     })
 }
 
-/// Explains the state of a host; `None` if the key is stale or the host has no pool.
+/// Explains the state of a host; returns `None` if it no longer exists or has no pool.
 pub fn explain_host(inventory: &Inventory, key: host::Key) -> Option<Explanation> {
     let host = inventory.host(key)?;
     let pool_key = host.pool?;
@@ -93,7 +93,7 @@
         explanation.zone = inventory.zone(zone).cloned();
     }
     explanation.target = reservation.moves.get(&host.name).cloned();
-    explanation.host = Some((host.name.clone(), host.offset, state));
+    explanation.host = Some((host.name.clone(), host.assignment_offset, state));
     Some(explanation)
 }
 
--- a/crates/fleet/src/explain/mod.rs
+++ b/crates/fleet/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! Why a host, a pool or the wave is in its present state.
+//! Explanations of the current state of a host, a pool or the wave.
 
 mod explain;
 mod summary;
--- a/crates/fleet/src/explain/summary.rs
+++ b/crates/fleet/src/explain/summary.rs
@@ -13,22 +13,22 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::model::Progress;
 
-/// State of the wave, and the records and figures behind it.
+/// State of the wave, and the records and counts behind it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Summary {
     /// Number of the wave that is due now.
     pub number: u64,
-    /// Whether it starts drains.
+    /// Whether the wave starts drains.
     pub progress: Progress,
-    /// The pool that halts it and the offset of that pool's reservation, if it is halted.
+    /// Pool whose reservation pauses or stops the wave, and the offset of that reservation.
     pub halted_by: Option<(Name, u64)>,
-    /// Hosts that are done in it.
+    /// Hosts whose maintenance in this wave is complete or was skipped.
     pub done: usize,
-    /// All hosts of all pools.
+    /// Hosts of all pools.
     pub hosts: usize,
-    /// Failures of returned hosts and of the others.
+    /// Failures of maintained hosts and of hosts not yet maintained.
     pub evidence: Evidence,
-    /// Pools that don't finish in time.
+    /// Pools that will not finish before the deadline.
     pub late: Vec<Forecast>,
 }
 
@@ -45,7 +45,7 @@
         progress: halt.map_or(Progress::Running, |(_, pool)| {
             pool.reservation.wave.progress
         }),
-        halted_by: halt.map(|(_, pool)| (pool.name.clone(), pool.basis.unwrap_or(0))),
+        halted_by: halt.map(|(_, pool)| (pool.name.clone(), pool.reservation_offset.unwrap_or(0))),
         done: begun.map(|(_, pool)| pool.reservation.finished.len()).sum(),
         hosts: inventory.pools().map(|(_, pool)| pool.hosts.len()).sum(),
         evidence: wave::evidence(inventory, now),
--- a/crates/fleet/src/inventory/host.rs
+++ b/crates/fleet/src/inventory/host.rs
@@ -1,39 +1,39 @@
-//! A host, as records and the platform describe it.
+//! A host, as described by log records and platform reports.
 
 use super::rack;
 use sassafrascrank_base::prelude::*;
 
-/// Whether a host serves.
+/// Whether a host is in service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// It serves.
+    /// The host is in service.
     Healthy {
-        /// When it last began to serve.
+        /// When it last became healthy.
         since: Time,
     },
-    /// It does not.
+    /// The host has failed.
     Failed {
-        /// When it ceased to serve.
+        /// When it failed.
         since: Time,
     },
 }
 
-/// Work that a host still has to end before it may be rebooted.
+/// Work that a host must complete before it may be rebooted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Work {
-    /// None.
+    /// The host has no work.
     Idle,
-    /// Some.
+    /// The host has work.
     Busy {
-        /// Expected time until it ends, which may be far from the actual one.
+        /// Declared time until the work is complete; the actual time may differ widely.
         remaining: Duration,
-        /// Whether it can be moved to another host.
+        /// Whether the work can be moved to another host.
         movable: bool,
     },
 }
 
 impl Work {
-    /// Returns the expected time until the work ends.
+    /// Returns the declared time until the work is complete, zero for an idle host.
     pub fn remaining(self) -> Duration {
         match self {
             Self::Idle => Duration::ZERO,
@@ -45,33 +45,33 @@
 /// What the platform reports about a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Observation {
-    /// Whether the host serves.
+    /// Whether the host is in service.
     pub health: Health,
-    /// Its work.
+    /// Work that the host still has.
     pub work: Work,
-    /// When it last booted.
+    /// When the host last booted.
     pub booted: Time,
 }
 
-/// A host.
+/// A host and what is known about it.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: Name,
-    /// The pool that it is assigned to.
+    /// Pool that the host is assigned to.
     pub pool: Option<pool::Key>,
-    /// Offset of the assignment, 0 if there is none.
-    pub offset: u64,
+    /// Offset of the assignment record, 0 if there is none.
+    pub assignment_offset: u64,
     /// Zone and rack; `None` until the platform lists the host.
     pub location: Option<(availability_zone::Key, rack::Key)>,
-    /// Last report; `None` until the platform lists the host.
+    /// Latest platform report; `None` until the platform lists the host.
     pub observation: Option<Observation>,
-    /// Start of the last failure that was reported.
+    /// Start of the latest reported failure, kept after the host recovers.
     pub failed_at: Option<Time>,
 }
 
 impl Host {
-    /// Returns since when the host serves, or `None` if it does not or nothing is known.
+    /// Returns when the host became healthy, or `None` if it has failed or was never reported.
     pub fn healthy_since(&self) -> Option<Time> {
         match self.observation?.health {
             Health::Healthy { since } => Some(since),
@@ -79,7 +79,9 @@
         }
     }
 
-    /// Returns since when the host fails; a host that was never reported counts as failed.
+    /// Returns when the host failed, or `None` if it is healthy.
+    ///
+    /// A host that was never reported counts as failed since [`Time::MIN`].
     pub fn failed_since(&self) -> Option<Time> {
         match self.observation.map(|observation| observation.health) {
             Some(Health::Healthy { .. }) => None,
--- a/crates/fleet/src/inventory/inventory.rs
+++ b/crates/fleet/src/inventory/inventory.rs
@@ -1,4 +1,4 @@
-//! Arenas of pools, hosts, zones and racks.
+//! Arenas of pools, hosts, zones and racks, with indices by name.
 
 use super::{
     Health,
@@ -15,10 +15,10 @@
 use slotmap::SlotMap;
 use std::collections::BTreeMap;
 
-/// Everything that decisions about the fleet read.
+/// All state that decisions about the fleet depend on.
 ///
-/// Pools and hosts are bounded by the limits of the ledger. Hosts that only the platform lists are kept without a
-/// pool until [`forget`](Self::forget).
+/// The ledger limits the numbers of pools and hosts. A host that the platform lists without an assignment record is
+/// kept without a pool until [`forget`](Self::forget) removes it.
 #[derive(Default)]
 pub struct Inventory {
     pools: SlotMap<pool::Key, Pool>,
@@ -34,15 +34,15 @@
 }
 
 impl Inventory {
-    /// Folds a value in force at `offset`, which was read at `now`.
+    /// Applies the value that the record at `offset` put in force; `now` is when it was read.
     ///
-    /// Subjects other than pools, hosts and reservations have no effect.
+    /// Values of customers are ignored.
     pub fn set(&mut self, subject: &Subject, offset: u64, value: &Value, now: Time) {
         match (subject, value) {
             (Subject::Pool(name), value) => {
                 let key = self.intern_pool(name);
                 let pool = &mut self.pools[key];
-                pool.offset = offset;
+                pool.policy_offset = offset;
                 pool.policy = match value {
                     Value::Pool(policy) => Some(policy.clone()),
                     _ => None,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Sets the basis of a subject that never had a value; it is what the ledger returns for an absent one.
+    /// Sets the basis for reservations that were never written, which is the ledger's basis for an absent subject.
     pub fn set_floor(&mut self, floor: u64) {
         self.floor = floor;
     }
 
-    /// Sets zone and rack of a host; racks of different zones have different names.
+    /// Sets the zone and rack of a host. Rack names must be unique over all zones.
     pub fn set_location(&mut self, host: &Name, zone: &Name, rack: &Name) {
         let key = self.intern_host(host);
         let zone = intern(&mut self.zones, &mut self.zone_index, zone);
@@ -78,7 +78,7 @@
         self.hosts[key].location = Some((zone, rack));
     }
 
-    /// Takes the platform's report of a host.
+    /// Stores the platform's report on a host.
     pub fn observe(&mut self, host: &Name, observation: Observation) {
         let key = self.intern_host(host);
         let host = &mut self.hosts[key];
@@ -88,17 +88,17 @@
         host.observation = Some(observation);
     }
 
-    /// Notes that the platform's reports are complete as of `now`.
+    /// Sets `now` as the time at which reports on all hosts were last received.
     pub fn set_observed(&mut self, now: Time) {
         self.observed = now;
     }
 
-    /// Returns when the platform's reports were last complete.
+    /// Returns when reports on all hosts were last received.
     pub fn observed(&self) -> Time {
         self.observed
     }
 
-    /// Drops a host that the platform no longer lists and that no pool has.
+    /// Removes a host that the platform no longer lists, unless it is assigned to a pool.
     pub fn forget(&mut self, host: &Name) {
         let Some(&key) = self.host_index.get(host) else {
             return;
@@ -122,22 +122,22 @@
         keys.iter().map(|&key| (key, &self.hosts[key]))
     }
 
-    /// Returns a pool.
+    /// Returns the pool with this key, or `None` if it no longer exists.
     pub fn pool(&self, key: pool::Key) -> Option<&Pool> {
         self.pools.get(key)
     }
 
-    /// Returns a host.
+    /// Returns the host with this key, or `None` if it no longer exists.
     pub fn host(&self, key: host::Key) -> Option<&Host> {
         self.hosts.get(key)
     }
 
-    /// Returns the key of a pool.
+    /// Returns the key of the pool called `name`.
     pub fn find_pool(&self, name: &Name) -> Option<pool::Key> {
         self.pool_index.get(name).copied()
     }
 
-    /// Returns the key of a host.
+    /// Returns the key of the host called `name`.
     pub fn find_host(&self, name: &Name) -> Option<host::Key> {
         self.host_index.get(name).copied()
     }
@@ -154,13 +154,13 @@
 
     /// Returns the basis that a change of the pool's reservation needs.
     pub fn basis(&self, pool: &Pool) -> u64 {
-        pool.basis.unwrap_or(self.floor)
+        pool.reservation_offset.unwrap_or(self.floor)
     }
 
     fn assign(&mut self, name: &Name, pool: Option<pool::Key>, offset: u64) {
         let key = self.intern_host(name);
         let before = core::mem::replace(&mut self.hosts[key].pool, pool);
-        self.hosts[key].offset = offset;
+        self.hosts[key].assignment_offset = offset;
         if before == pool {
             return;
         }
@@ -183,11 +183,11 @@
             pools.insert(Pool {
                 name: name.clone(),
                 policy: None,
-                offset: 0,
+                policy_offset: 0,
                 reservation: Default::default(),
-                basis: None,
+                reservation_offset: None,
                 hosts: Vec::new(),
-                read: BTreeMap::new(),
+                first_reads: BTreeMap::new(),
             })
         })
     }
@@ -202,7 +202,7 @@
             hosts.insert(Host {
                 name: name.clone(),
                 pool: None,
-                offset: 0,
+                assignment_offset: 0,
                 location: None,
                 observation: None,
                 failed_at: None,
--- a/crates/fleet/src/inventory/mod.rs
+++ b/crates/fleet/src/inventory/mod.rs
@@ -1,4 +1,4 @@
-//! Pools and hosts: what the records say and what the platform reports.
+//! Pools and hosts, as described by log records and platform reports.
 
 mod host;
 mod inventory;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,8 @@
 //! Pools of hosts, availability budgets and maintenance waves.
 //!
-//! The crate decides only. The owner folds records into an [`Inventory`], passes the time to [`wave::plan`] and
-//! appends the proposals with their bases; the ledger decides which of several racing proposals is accepted.
+//! The crate makes decisions and does no I/O. The owner applies log records to an [`Inventory`], passes the current
+//! time to [`wave::plan`] and appends the proposals to the log. Each proposal names the offset that it is based on, so
+//! the ledger accepts only one of several proposals that race.
 
 pub mod budget;
 pub mod explain;
--- a/crates/fleet/src/moves/moves.rs
+++ b/crates/fleet/src/moves/moves.rs
@@ -1,7 +1,7 @@
-//! Which hosts move to which pool, and the last step of a move.
+//! Decides which hosts move to which pool, and completes moves of drained hosts.
 //!
-//! A move is recorded as `draining` with the new pool (left), `out` (drained) and a change that releases the host
-//! and assigns it to the new pool at once (joined).
+//! A move takes three records: the host is `draining` and names its new pool, the host is `out`, and one change
+//! releases the host and assigns it to the new pool.
 
 use crate::{
     budget,
@@ -21,22 +21,22 @@
 use sassafrascrank_contract::model::Step;
 use std::collections::BTreeMap;
 
-/// A move must serve the demand for at least this many times the drain that it costs. Without this margin, a peak
-/// that lasts about as long as a drain would move hosts back and forth.
-const PAYBACK: u32 = 2;
+/// Least ratio of the time that a host is needed in its new pool to the time that draining it takes. Without this
+/// margin, hosts would move back and forth for demand peaks that last about as long as a drain.
+const MIN_BENEFIT_RATIO: u32 = 2;
 
 /// Demand of one pool.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Demand {
-    /// The pool.
+    /// Pool that needs the hosts.
     pub pool: pool::Key,
-    /// Hosts that it needs.
+    /// Number of hosts that the pool needs.
     pub hosts: usize,
-    /// How long it is expected to need them.
-    pub lasting: Duration,
+    /// How long the pool is expected to need them.
+    pub duration: Duration,
 }
 
-/// Hosts that a pool has or will have, and hosts that it needs.
+/// Supply and demand of one pool. `supply` counts hosts by the pool that they belong to after all moves.
 struct Balance<'a> {
     pool: &'a Pool,
     key: pool::Key,
@@ -44,7 +44,7 @@
     demand: Demand,
     spare: bool,
     /// Offset of the newest assignment to the pool.
-    joined: u64,
+    newest_assignment: u64,
 }
 
 impl Balance<'_> {
@@ -57,23 +57,23 @@
     }
 }
 
-/// Returns the changes that start or complete moves, at most one for each pool.
+/// Returns the proposals that start or complete moves, at most one for each pool.
 ///
-/// Pools without a demand neither give nor take hosts. Without fresh reports of the platform it returns none.
+/// Pools without a demand neither give nor receive hosts. If the platform's reports are too old, nothing is proposed.
 pub fn plan(inventory: &Inventory, rules: &Rules, demands: &[Demand], now: Time) -> Vec<Proposal> {
-    if now.since(inventory.observed()) > rules.freshness {
+    if now.since(inventory.observed()) > rules.report_age_limit {
         return Vec::new();
     }
     let mut drafts = BTreeMap::new();
     for (key, pool) in inventory.pools() {
-        complete(
+        complete_move(
             inventory,
             pool,
             drafts.entry(key).or_insert(Draft::new(pool, now)),
         );
     }
-    let mut balances = weigh(inventory, demands);
-    // The largest deficit is served first, the spare pool's last.
+    let mut balances = compute_balances(inventory, demands);
+    // Serves the largest deficit first and spare pools last.
     let mut sinks: Vec<usize> = (0..balances.len()).collect();
     sinks.sort_by_key(|&sink| {
         let balance = &balances[sink];
@@ -81,18 +81,21 @@
     });
     for sink in sinks {
         while balances[sink].deficit() > 0 {
-            if !start(inventory, rules, &mut balances, sink, &mut drafts) {
+            if !start_move(inventory, rules, &mut balances, sink, &mut drafts) {
                 break;
             }
         }
     }
     let pools = inventory.pools();
-    let proposals = pools.filter_map(|(key, pool)| drafts.remove(&key)?.finish(inventory, pool));
+    let proposals =
+        pools.filter_map(|(key, pool)| drafts.remove(&key)?.into_proposal(inventory, pool));
     proposals.collect()
 }
 
-/// Lets one drained host join its new pool; a host that failed, or whose new pool is gone, stays in its own.
-fn complete(inventory: &Inventory, pool: &Pool, draft: &mut Draft) {
+/// Assigns one drained host to its new pool.
+///
+/// A move is withdrawn if the host has failed or its new pool no longer exists.
+fn complete_move(inventory: &Inventory, pool: &Pool, draft: &mut Draft) {
     for (name, target) in &pool.reservation.moves {
         let absence = pool.reservation.hosts.get(name);
         if absence.is_none_or(|absence| absence.step != Step::Out) {
@@ -116,8 +119,8 @@
     }
 }
 
-/// Counts hosts by the pool that they will be in when all moves are complete.
-fn weigh<'a>(inventory: &'a Inventory, demands: &[Demand]) -> Vec<Balance<'a>> {
+/// Computes the supply of each pool that has a demand, as it will be when all moves are complete.
+fn compute_balances<'a>(inventory: &'a Inventory, demands: &[Demand]) -> Vec<Balance<'a>> {
     let mut arriving: BTreeMap<&Name, usize> = BTreeMap::new();
     for (_, pool) in inventory.pools() {
         for target in pool.reservation.moves.values() {
@@ -132,9 +135,9 @@
             key,
             supply: pool.hosts.len() + arriving - pool.reservation.moves.len(),
             demand: *demand,
-            joined: inventory
+            newest_assignment: inventory
                 .hosts(key)
-                .map(|(_, host)| host.offset)
+                .map(|(_, host)| host.assignment_offset)
                 .max()
                 .unwrap_or(0),
             spare: pool.policy.as_ref().is_some_and(|policy| policy.spare),
@@ -143,8 +146,8 @@
     inventory.pools().filter_map(balance).collect()
 }
 
-/// Starts one move to the pool `sink`; returns false if no source can give a host now.
-fn start(
+/// Starts one move to the pool with index `sink`; returns false if no pool can give a host now.
+fn start_move(
     inventory: &Inventory,
     rules: &Rules,
     balances: &mut [Balance<'_>],
@@ -153,29 +156,32 @@
 ) -> bool {
     let mut sources: Vec<usize> = (0..balances.len()).collect();
     sources.retain(|&source| balances[source].surplus() > 0);
-    // The spare pool gives first, then the pool that a host joined last: it had its peak last, so of all pools
-    // whose queues peak in turn it needs its hosts again the latest.
+    // Spare pools give hosts first, then the pool that received a host most recently. It had the most recent peak, so
+    // if the pools' demands peak in turn, it is the last one to need its hosts again.
     sources.sort_by_key(|&source| {
         let balance = &balances[source];
         (
             !balance.spare,
-            core::cmp::Reverse((balance.joined, balance.surplus())),
+            core::cmp::Reverse((balance.newest_assignment, balance.surplus())),
         )
     });
     let target = &balances[sink];
-    let limit = target.demand.lasting / PAYBACK;
+    let max_drain = target.demand.duration / MIN_BENEFIT_RATIO;
     let target = target.pool.name.clone();
     for source in sources {
         let key = balances[source].key;
         let Some(draft) = drafts.get_mut(&key) else {
             continue;
         };
-        // The inventory still counts a host that joins its new pool in this draft, so the budget would be too large.
-        let joins = draft.joins();
-        let Some(host) = choose(inventory, rules, key, draft, limit).filter(|_| !joins) else {
-            // A source whose budget or zone is in use can give soon. Taking the host from another pool meanwhile
-            // would leave that pool short at its own peak: a third more moves over a week of peaks in turn.
-            if draft.value.hosts.is_empty() && !joins {
+        // If this draft moves a host to its new pool, the inventory still counts that host here, so the budget would
+        // come out too large.
+        let has_join = draft.has_join();
+        let Some(host) = choose_host(inventory, rules, key, draft, max_drain).filter(|_| !has_join)
+        else {
+            // A pool whose budget or zone is in use can give a host soon. Taking one from another pool instead would
+            // leave that pool short at its own next peak, and more moves would follow: a third more over a week of
+            // peaks in turn.
+            if draft.value.hosts.is_empty() && !has_join {
                 continue;
             }
             return false;
@@ -188,27 +194,27 @@
     false
 }
 
-/// Returns the host with the shortest drain that may leave and whose drain pays.
-fn choose<'a>(
+/// Returns the host with the shortest drain among those that may leave and whose drain takes at most `max_drain`.
+fn choose_host<'a>(
     inventory: &'a Inventory,
     rules: &Rules,
     pool: pool::Key,
     draft: &Draft,
-    limit: Duration,
+    max_drain: Duration,
 ) -> Option<&'a Host> {
-    let cost = |host: &Host| {
+    let drain_time = |host: &Host| {
         let work = host.observation.map(|observation| observation.work);
         work.map_or(Duration::ZERO, Work::remaining)
             .min(rules.drain_limit)
     };
     let hosts = inventory.hosts(pool).map(|(_, host)| host);
     let free = hosts.filter(|host| {
-        // A host that joins its new pool in this draft is no longer reserved, but it can't leave again.
+        // A host that this draft assigns to its new pool is no longer reserved, but must not be moved again.
         let before = inventory.pool(pool).map(|pool| &pool.reservation.hosts);
         let absent = draft.value.hosts.contains_key(&host.name)
             || before.is_some_and(|hosts| hosts.contains_key(&host.name));
         let fits = || budget::check(inventory, pool, &draft.value, host).is_ok();
-        !absent && cost(host) <= limit && fits()
+        !absent && drain_time(host) <= max_drain && fits()
     });
-    free.min_by_key(|host| cost(host))
+    free.min_by_key(|host| drain_time(host))
 }
--- a/crates/fleet/src/wave/control.rs
+++ b/crates/fleet/src/wave/control.rs
@@ -1,4 +1,4 @@
-//! Acts of an operator on the wave.
+//! Operator commands for the wave.
 
 use super::{
     Proposal,
@@ -11,7 +11,9 @@
     Progress, //
 };
 
-/// Pauses the wave in all pools by the record of one; `None` if it does not run.
+/// Pauses the wave in all pools; returns `None` if it is not running.
+///
+/// The pause is recorded in the first pool only, because a pause in any pool holds for all.
 pub fn pause(inventory: &Inventory, now: Time) -> Option<Proposal> {
     if !super::is_running(inventory) {
         return None;
@@ -19,10 +21,10 @@
     let (_, pool) = inventory.pools().next()?;
     let mut draft = Draft::new(pool, now);
     draft.set_progress(Progress::Paused);
-    draft.finish(inventory, pool)
+    draft.into_proposal(inventory, pool)
 }
 
-/// Resumes a wave that was paused or stopped; failures before `now` don't stop it again.
+/// Resumes a wave that was paused or stopped; failures before `now` do not stop it again.
 pub fn resume(inventory: &Inventory, now: Time) -> Vec<Proposal> {
     let pools = inventory.pools();
     pools
@@ -30,12 +32,14 @@
         .filter_map(|(_, pool)| {
             let mut draft = Draft::new(pool, now);
             draft.set_progress(Progress::Running);
-            draft.finish(inventory, pool)
+            draft.into_proposal(inventory, pool)
         })
         .collect()
 }
 
-/// Leaves a host that is in service out of its pool's wave; `None` if it is absent, done or unassigned.
+/// Excludes a host that is in service from its pool's current wave.
+///
+/// Returns `None` if the host is out of service, has finished the wave or has no pool.
 pub fn skip(inventory: &Inventory, host: host::Key, now: Time) -> Option<Proposal> {
     let host = inventory.host(host)?;
     let pool = inventory.pool(host.pool?)?;
@@ -44,6 +48,6 @@
         return None;
     }
     let mut draft = Draft::new(pool, now);
-    draft.end(&host.name, Maintenance::Skipped);
-    draft.finish(inventory, pool)
+    draft.finish_host(&host.name, Maintenance::Skipped);
+    draft.into_proposal(inventory, pool)
 }
--- a/crates/fleet/src/wave/draft.rs
+++ b/crates/fleet/src/wave/draft.rs
@@ -1,4 +1,4 @@
-//! A proposed change of one pool's reservation.
+//! Proposed change of one pool's reservation.
 
 use crate::inventory::{
     Host,
@@ -18,64 +18,64 @@
 };
 use std::sync::Arc;
 
-/// What a proposal does.
+/// One effect of a proposal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// The pool starts a wave.
+    /// The pool starts the wave with this number.
     Begin(u64),
-    /// A host failed on its own.
+    /// A host failed.
     Failed(Name),
-    /// A failed host serves again.
+    /// A failed host is in service again.
     Recovered(Name),
-    /// A host leaves service.
+    /// A host starts draining for maintenance.
     Drain(Name),
-    /// A draining host goes back to service.
+    /// A host returns to service without maintenance or move.
     Withdraw(Name),
-    /// A drained host may be rebooted.
+    /// A drained host may be rebooted or moved.
     Out(Name),
-    /// A rebooted host has to prove healthy.
+    /// A rebooted host starts its probation.
     Return(Name),
-    /// A host leaves service in order to join another pool.
+    /// A host starts draining in order to move to the second name, its new pool.
     Leave(Name, Name),
-    /// A drained host joins another pool.
+    /// A drained host is assigned to the second name, its new pool.
     Join(Name, Name),
-    /// A host is done.
+    /// A host finished the wave with this result.
     Finish(Name, Maintenance),
-    /// The wave's state changes.
+    /// The wave is paused, stopped or resumed.
     Progress(Progress),
 }
 
-/// New assignment of a host that left its pool.
+/// Assignment of a drained host to its new pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Join {
-    /// The host.
+    /// Host that moves.
     pub host: Name,
-    /// Offset of the assignment that the decision rests on.
+    /// Offset of the host's assignment that the decision is based on.
     pub basis: u64,
-    /// Its new pool.
+    /// New pool of the host.
     pub pool: Name,
-    /// Offset of the new pool's reservation that the decision rests on.
+    /// Offset of the new pool's reservation that the decision is based on.
     pub reservation_basis: u64,
-    /// The new pool's reservation. It is part of the change, because the pool's budget grows with the pool.
+    /// Reservation of the new pool. It is part of the change because the pool's budget grows with the new host.
     pub reservation: Arc<Reservation>,
 }
 
-/// A change of one reservation, to be appended with its basis.
+/// Change of one reservation, to be appended to the log with its basis.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proposal {
-    /// The pool's reservation.
+    /// Subject of the reservation.
     pub subject: Subject,
-    /// Offset of the value that the decision rests on.
+    /// Offset of the reservation that the decision is based on.
     pub basis: u64,
-    /// The new value.
+    /// New value of the reservation.
     pub value: Arc<Reservation>,
-    /// Assignment that changes together with it.
+    /// Assignment that changes in the same record, if any.
     pub join: Option<Join>,
-    /// What it does.
+    /// Effects of the proposal, in the order of decision.
     pub actions: Vec<Action>,
 }
 
-/// A reservation under change. Times in it are whole milliseconds, as in records.
+/// A reservation that is being edited. Its times are whole milliseconds, as in records.
 pub(crate) struct Draft {
     pub(crate) value: Arc<Reservation>,
     pub(super) actions: Vec<Action>,
@@ -93,7 +93,7 @@
         }
     }
 
-    pub(crate) fn finish(self, inventory: &Inventory, pool: &Pool) -> Option<Proposal> {
+    pub(crate) fn into_proposal(self, inventory: &Inventory, pool: &Pool) -> Option<Proposal> {
         if self.actions.is_empty() {
             return None;
         }
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Copies the reservation at the first change.
+    /// Returns the reservation for editing; the first call copies the shared value.
     fn edit(&mut self) -> &mut Reservation {
         Arc::make_mut(&mut self.value)
     }
@@ -125,18 +125,18 @@
         self.actions.push(Action::Progress(progress));
     }
 
-    pub(super) fn fail(&mut self, host: &Name, since: Time) {
+    pub(super) fn record_failure(&mut self, host: &Name, since: Time) {
         let since = Time::from_millis(since.as_millis());
         self.edit().failed.insert(host.clone(), since);
         self.actions.push(Action::Failed(host.clone()));
     }
 
-    pub(super) fn recover(&mut self, host: &Name) {
+    pub(super) fn record_recovery(&mut self, host: &Name) {
         self.edit().failed.remove(host);
         self.actions.push(Action::Recovered(host.clone()));
     }
 
-    pub(super) fn step(&mut self, host: &Name, step: Step) {
+    pub(super) fn set_step(&mut self, host: &Name, step: Step) {
         let absence = Absence {
             step,
             since: self.now,
@@ -158,17 +158,17 @@
     }
 
     pub(crate) fn leave(&mut self, host: &Name, pool: &Name) {
-        self.step(host, Step::Draining);
+        self.set_step(host, Step::Draining);
         self.edit().moves.insert(host.clone(), pool.clone());
         self.actions.push(Action::Leave(host.clone(), pool.clone()));
     }
 
-    /// Returns whether a host joins another pool.
-    pub(crate) fn joins(&self) -> bool {
+    /// Returns whether the draft assigns a host to another pool.
+    pub(crate) fn has_join(&self) -> bool {
         self.join.is_some()
     }
 
-    /// Lets a drained host join another pool; a draft holds at most one join.
+    /// Assigns a drained host to the pool `target`; a draft holds at most one such assignment.
     pub(crate) fn join(&mut self, inventory: &Inventory, host: &Host, target: &Pool) {
         let mut reservation = target.reservation.as_ref().clone();
         let finish = self.edit().finished.remove(&host.name);
@@ -183,14 +183,14 @@
             .push(Action::Join(host.name.clone(), target.name.clone()));
         self.join = Some(Join {
             host: host.name.clone(),
-            basis: host.offset,
+            basis: host.assignment_offset,
             pool: target.name.clone(),
             reservation_basis: inventory.basis(target),
             reservation: Arc::new(reservation),
         });
     }
 
-    pub(super) fn end(&mut self, host: &Name, result: Maintenance) {
+    pub(super) fn finish_host(&mut self, host: &Name, result: Maintenance) {
         self.edit().hosts.remove(host);
         let at = self.now;
         self.edit()
@@ -199,7 +199,7 @@
         self.actions.push(Action::Finish(host.clone(), result));
     }
 
-    /// Stops the wave if it runs.
+    /// Stops the wave if it is running.
     pub(super) fn stop(&mut self, cause: Cause) {
         if self.value.wave.progress == Progress::Running {
             self.set_progress(Progress::Stopped(cause));
--- a/crates/fleet/src/wave/forecast.rs
+++ b/crates/fleet/src/wave/forecast.rs
@@ -1,4 +1,4 @@
-//! Whether a wave finishes in time, and what prevents it.
+//! Forecast of the pools whose wave will not finish before its deadline, and the cause.
 
 use super::Rules;
 use crate::{
@@ -18,35 +18,36 @@
 };
 use std::collections::BTreeMap;
 
-/// Why a pool's wave does not finish in time.
+/// Why a pool's wave will not finish before its deadline.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// No host may leave service even while none is out voluntarily.
+    /// The budget allows no host to leave service, even while none is reserved.
     NoRoom,
-    /// The remaining hosts take longer than the time that is left.
+    /// The remaining hosts need more time than is left.
     Slow,
-    /// Work on this draining host neither ends nor can be moved.
+    /// This host has been draining for longer than the drain limit, and its work cannot be moved.
     Pinned(Name),
     /// The wave is paused or stopped.
     Halted(Progress),
 }
 
-/// Outlook of a pool whose wave does not finish in time.
+/// Forecast for a pool whose wave will not finish before its deadline.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Forecast {
     /// The pool.
     pub pool: Name,
     /// Offset of the reservation record, 0 if there is none.
     pub offset: u64,
-    /// Hosts not yet done.
+    /// Hosts that have not finished the wave.
     pub pending: usize,
-    /// Availability that decides how many may leave at once.
+    /// Availability budget, which limits how many hosts may be out of service at once.
     pub budget: Budget,
-    /// Time that the remaining hosts need at that width; `None` if they never finish.
+    /// Time that the remaining hosts need with as many out of service at once as the budget allows; `None` if they
+    /// never finish.
     pub needs: Option<Duration>,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// What prevents it.
+    /// Why the wave will not finish in time.
     pub cause: Cause,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Returns the pools whose wave does not finish in time, ordered by name.
+/// Returns a forecast for each pool whose wave will not finish before its deadline, ordered by name.
 pub fn forecast(inventory: &Inventory, rules: &Rules, now: Time) -> Vec<Forecast> {
     let pools = inventory.pools();
     pools
@@ -102,8 +103,8 @@
     }
     let budget = Budget::new(inventory, key, reservation);
     let left = rules.deadline(number).since(now);
-    let width = budget.room() + budget.reserved;
-    let needs = (width > 0).then(|| estimate(&pending, width, rules));
+    let concurrency = budget.room() + budget.reserved;
+    let needs = (concurrency > 0).then(|| estimate(&pending, concurrency, rules));
     let pinned = pending
         .iter()
         .find(|host| is_pinned(host, pool, rules, now));
@@ -121,7 +122,7 @@
     };
     Some(Forecast {
         pool: pool.name.clone(),
-        offset: pool.basis.unwrap_or(0),
+        offset: pool.reservation_offset.unwrap_or(0),
         pending: pending.len(),
         budget,
         needs,
@@ -130,24 +131,28 @@
     })
 }
 
-/// Estimates the time for the pending hosts, zone after zone, `width` at once, the longest first.
-fn estimate(pending: &[&Host], width: usize, rules: &Rules) -> Duration {
+/// Estimates the time to maintain the pending hosts, one zone after another.
+///
+/// Within a zone, `concurrency` hosts are out of service at once and the longest are started first.
+fn estimate(pending: &[&Host], concurrency: usize, rules: &Rules) -> Duration {
     let mut zones: BTreeMap<_, Vec<Duration>> = BTreeMap::new();
     for host in pending {
         let work = host.observation.map(|observation| observation.work);
         let drain = work.map_or(Duration::ZERO, Work::remaining);
-        let span = drain.min(rules.drain_limit) + rules.reboot + rules.proof;
-        zones.entry(host.location).or_default().push(span);
+        let duration = drain.min(rules.drain_limit) + rules.reboot + rules.probation;
+        zones.entry(host.location).or_default().push(duration);
     }
     zones
         .into_values()
-        .map(|mut spans| {
-            spans.sort_unstable();
-            let mut lanes = vec![Duration::ZERO; width];
-            while let (Some(span), Some(lane)) = (spans.pop(), lanes.iter_mut().min()) {
-                *lane += span;
+        .map(|mut durations| {
+            durations.sort_unstable();
+            let mut finish_times = vec![Duration::ZERO; concurrency];
+            while let (Some(duration), Some(finish_time)) =
+                (durations.pop(), finish_times.iter_mut().min())
+            {
+                *finish_time += duration;
             }
-            lanes.into_iter().max().unwrap_or_default()
+            finish_times.into_iter().max().unwrap_or_default()
         })
         .sum()
 }
@@ -158,6 +163,6 @@
     };
     let work = host.observation.map(|observation| observation.work);
     let unmovable = matches!(work, Some(Work::Busy { movable: false, .. }));
-    let late = pool.age(&host.name, *absence, now) >= rules.drain_limit;
-    absence.step == Step::Draining && unmovable && late
+    let overdue = pool.time_in_step(&host.name, *absence, now) >= rules.drain_limit;
+    absence.step == Step::Draining && unmovable && overdue
 }
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -1,4 +1,4 @@
-//! The next steps of the wave in every pool.
+//! Planner of the next steps of the wave in every pool.
 
 use super::{
     Proposal,
@@ -28,15 +28,15 @@
 };
 use std::collections::BTreeMap;
 
-/// Returns the changes that are due now, at most one for each pool.
+/// Returns the proposals that are due now, at most one for each pool.
 ///
-/// Without fresh reports of the platform it returns none, because failures would be missing from the budgets.
+/// If the platform's reports are too old, nothing is proposed, because the budgets would miss recent failures.
 pub fn plan(inventory: &Inventory, rules: &Rules, now: Time) -> Vec<Proposal> {
-    if now.since(inventory.observed()) > rules.freshness {
+    if now.since(inventory.observed()) > rules.report_age_limit {
         return Vec::new();
     }
     let running = is_running(inventory);
-    let halt = running.then(|| stop::judge(inventory, now)).flatten();
+    let halt = running.then(|| stop::find_stop(inventory, now)).flatten();
     let planner = Planner {
         inventory,
         rules,
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// Returns whether the wave starts drains: an operator's pause or a stop that any pool records holds for all.
+/// Returns whether the wave starts drains. A pause or stop recorded in any pool holds for all pools.
 pub fn is_running(inventory: &Inventory) -> bool {
     let mut pools = inventory.pools();
     pools.all(|(_, pool)| pool.reservation.wave.progress == Progress::Running)
@@ -76,7 +76,7 @@
     ) -> Option<Proposal> {
         let pool = self.inventory.pool(key)?;
         let mut draft = Draft::new(pool, now);
-        self.note_failures(key, &mut draft);
+        self.record_failures(key, &mut draft);
         if let Some((_, cause)) = halt.filter(|&(stopped, _)| stopped == key) {
             draft.stop(cause);
         }
@@ -89,19 +89,21 @@
         if self.running {
             self.start_drains(key, &mut draft);
         }
-        draft.finish(self.inventory, pool)
+        draft.into_proposal(self.inventory, pool)
     }
 
-    /// Records failures of hosts in service, so that decisions made without them have a stale basis.
-    fn note_failures(&self, key: pool::Key, draft: &mut Draft) {
+    /// Records failures and recoveries of hosts that are not reserved.
+    ///
+    /// A recorded failure changes the reservation's offset, so decisions made without it have a stale basis.
+    fn record_failures(&self, key: pool::Key, draft: &mut Draft) {
         for (_, host) in self.inventory.hosts(key) {
             if draft.value.hosts.contains_key(&host.name) {
                 continue;
             }
             match (host.failed_since(), draft.value.failed.get(&host.name)) {
-                (Some(since), None) => draft.fail(&host.name, since),
-                (None, Some(&recorded)) if self.is_settled(host, recorded) => {
-                    draft.recover(&host.name);
+                (Some(since), None) => draft.record_failure(&host.name, since),
+                (None, Some(&recorded)) if self.has_recovered(host, recorded) => {
+                    draft.record_recovery(&host.name);
                 }
                 _ => {}
             }
@@ -113,14 +115,16 @@
         let failed = draft.value.failed.keys();
         let moved: Vec<Name> = failed.filter(moved).cloned().collect();
         for name in moved {
-            draft.recover(&name);
+            draft.record_recovery(&name);
         }
     }
 
-    fn is_settled(&self, host: &Host, recorded: Time) -> bool {
+    fn has_recovered(&self, host: &Host, recorded: Time) -> bool {
         let observed = self.inventory.observed();
         let since = host.healthy_since();
-        since.is_some_and(|since| since > recorded && observed.since(since) >= self.rules.settle)
+        since.is_some_and(|since| {
+            since > recorded && observed.since(since) >= self.rules.recovery_delay
+        })
     }
 
     fn advance_returns(&self, pool: &Pool, draft: &mut Draft) {
@@ -131,17 +135,20 @@
             if draft.value.moves.contains_key(&name) {
                 continue;
             }
-            let age = pool.age(&name, absence, draft.now);
+            let time_in_step = pool.time_in_step(&name, absence, draft.now);
             match absence.step {
                 Step::Draining => {}
-                Step::Out if self.is_booted(host, absence) => draft.step(&name, Step::Returning),
-                Step::Returning if self.is_proved(host, absence) => {
-                    draft.end(&name, Maintenance::Done);
+                Step::Out if self.is_booted(host, absence) => {
+                    draft.set_step(&name, Step::Returning)
                 }
-                Step::Out | Step::Returning if age >= self.rules.return_limit => {
-                    draft.end(&name, Maintenance::Broken);
-                    // Its reboot may still be under way, so it counts as failed until it has come up after this.
-                    draft.fail(&name, draft.now);
+                Step::Returning if self.has_passed_probation(host, absence) => {
+                    draft.finish_host(&name, Maintenance::Done);
+                }
+                Step::Out | Step::Returning if time_in_step >= self.rules.return_limit => {
+                    draft.finish_host(&name, Maintenance::Broken);
+                    // The reboot may still be in progress, so the host counts as failed until it becomes healthy
+                    // after this time.
+                    draft.record_failure(&name, draft.now);
                 }
                 Step::Out | Step::Returning => {}
             }
@@ -153,17 +160,17 @@
             .is_some_and(|observation| observation.booted > absence.since)
     }
 
-    fn is_proved(&self, host: &Host, absence: Absence) -> bool {
+    fn has_passed_probation(&self, host: &Host, absence: Absence) -> bool {
         let observed = self.inventory.observed();
         let since = host.healthy_since();
-        since.is_some_and(|since| observed.since(since.max(absence.since)) >= self.rules.proof)
+        since.is_some_and(|since| observed.since(since.max(absence.since)) >= self.rules.probation)
     }
 
-    /// Withdraws drains that a stop or failures forbid, and lets drained hosts go out.
+    /// Withdraws drains that a stopped wave or the budget forbids, and marks drained hosts as out of service.
     fn advance_drains(&self, key: pool::Key, pool: &Pool, draft: &mut Draft) {
         let mut draining = absences(draft);
         draining.retain(|(_, absence)| absence.step == Step::Draining);
-        // The latest drains have the least to lose.
+        // Withdraws the latest drains first, because they have made the least progress.
         draining.sort_by_key(|(_, absence)| core::cmp::Reverse(absence.since));
         for (name, absence) in draining {
             let Some(host) = self.find(&name) else {
@@ -176,37 +183,40 @@
                 draft.withdraw(&name);
                 continue;
             }
-            let age = pool.age(&name, absence, draft.now);
-            // An older report may say that the host is idle because of an earlier drain.
+            let time_in_step = pool.time_in_step(&name, absence, draft.now);
+            // A report from before the drain was read may show the host idle because of an earlier drain.
             let reported = pool
-                .read_at(&name, absence)
+                .first_read_at(&name, absence)
                 .is_some_and(|at| self.inventory.observed() > at);
-            if reported && self.is_drained(host, age) && budget.is_met() {
-                draft.step(&name, Step::Out);
+            if reported && self.is_drained(host, time_in_step) && budget.is_met() {
+                draft.set_step(&name, Step::Out);
             }
         }
     }
 
-    fn is_drained(&self, host: &Host, age: Duration) -> bool {
+    fn is_drained(&self, host: &Host, time_in_step: Duration) -> bool {
         match host.observation.map(|observation| observation.work) {
             Some(Work::Idle) => true,
-            Some(Work::Busy { movable, .. }) => movable && age >= self.rules.drain_limit,
+            Some(Work::Busy { movable, .. }) => movable && time_in_step >= self.rules.drain_limit,
             None => false,
         }
     }
 
-    /// Starts as many drains as the budget allows, the longest expected one first.
+    /// Starts as many drains as the budget allows, in the order of decreasing expected duration.
     fn start_drains(&self, key: pool::Key, draft: &mut Draft) {
         if Budget::new(self.inventory, key, &draft.value).room() == 0 {
             return;
         }
         let hosts = self.inventory.hosts(key).map(|(_, host)| host);
         let mut pending: Vec<&Host> = hosts.filter(|host| is_pending(host, draft)).collect();
-        let worked = budget::worked_zone(self.inventory, key, &draft.value);
-        let Some(zone) = worked.or_else(|| self.choose_zone(&pending)) else {
+        let reserved = budget::reserved_zone(self.inventory, key, &draft.value);
+        let Some(zone) = reserved.or_else(|| self.choose_zone(&pending)) else {
             return;
         };
-        pending.retain(|host| host.location.is_some_and(|(theirs, _)| theirs == zone));
+        pending.retain(|host| {
+            host.location
+                .is_some_and(|(host_zone, _)| host_zone == zone)
+        });
         pending.sort_by_key(|host| {
             let rack = host
                 .location
@@ -221,7 +231,7 @@
             if budget::check(self.inventory, key, &draft.value, host).is_err() {
                 return;
             }
-            draft.step(&host.name, Step::Draining);
+            draft.set_step(&host.name, Step::Draining);
         }
     }
 
@@ -231,7 +241,7 @@
             .min(self.rules.drain_limit)
     }
 
-    /// Returns the zone with the most pending hosts, the first by name among equals.
+    /// Returns the zone with the most pending hosts, and of several such zones the first by name.
     fn choose_zone(&self, pending: &[&Host]) -> Option<availability_zone::Key> {
         let mut counts: BTreeMap<&Name, (usize, availability_zone::Key)> = BTreeMap::new();
         for (zone, _) in pending.iter().filter_map(|host| host.location) {
--- a/crates/fleet/src/wave/rules.rs
+++ b/crates/fleet/src/wave/rules.rs
@@ -1,25 +1,26 @@
-//! Times of a maintenance wave.
+//! Time limits of a maintenance wave.
 
 use sassafrascrank_base::prelude::*;
 
-/// Times that the planner keeps to.
+/// Time limits that the planner applies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Rules {
-    /// Every host is maintained once in each period; waves are numbered by periods since the Unix epoch.
+    /// Time in which every host is maintained once. The number of a wave is the number of periods since the Unix epoch,
+    /// counted from 1.
     pub period: Duration,
-    /// After this time a draining host's work is moved if it can be.
+    /// Longest drain: after this time a host goes out of service if its remaining work can be moved.
     pub drain_limit: Duration,
-    /// Expected time of a reboot, for forecasts only.
+    /// Expected duration of a reboot, used by forecasts only.
     pub reboot: Duration,
-    /// Time without a failure after which a rebooted host has proved healthy.
-    pub proof: Duration,
-    /// Longest time in each of the steps `out` and `returning` before a host counts as broken.
+    /// Time without a failure after which a rebooted host counts as healthy.
+    pub probation: Duration,
+    /// Longest time in each of the steps `out` and `returning`; after it a host counts as broken.
     pub return_limit: Duration,
-    /// Time without a failure after which a recorded failure is cleared. It must exceed the lag of the platform's
-    /// reports, or else processes with different lags would record and clear the same failure in turn.
-    pub settle: Duration,
-    /// Oldest platform report on which a decision may rest.
-    pub freshness: Duration,
+    /// Time without a failure after which a recorded failure is cleared. It must exceed the delay of the platform's
+    /// reports; otherwise processes with different delays would record and clear the same failure in turn.
+    pub recovery_delay: Duration,
+    /// Largest age of the platform's reports at which decisions are made.
+    pub report_age_limit: Duration,
 }
 
 impl Default for Rules {
@@ -28,21 +29,21 @@
             period: Duration::from_secs(21 * 86_400),
             drain_limit: Duration::from_secs(1_800),
             reboot: Duration::from_secs(300),
-            proof: Duration::from_secs(300),
+            probation: Duration::from_secs(300),
             return_limit: Duration::from_secs(1_800),
-            settle: Duration::from_secs(60),
-            freshness: Duration::from_secs(30),
+            recovery_delay: Duration::from_secs(60),
+            report_age_limit: Duration::from_secs(30),
         }
     }
 }
 
 impl Rules {
-    /// Returns the number of the wave at `now`; it is at least 1.
+    /// Returns the number of the wave that is due at `now`, at least 1.
     pub fn wave(&self, now: Time) -> u64 {
         now.as_millis() / self.period_millis() + 1
     }
 
-    /// Returns the time at which every host must have been maintained in the wave.
+    /// Returns the time by which every host must have been maintained in this wave.
     pub fn deadline(&self, wave: u64) -> Time {
         Time::from_millis(wave.saturating_mul(self.period_millis()))
     }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of simulated hosts, a log that is the real fold, and planner processes that read it.
+//! Simulated hosts, a log that uses the ledger's real state, and planner processes that read the log.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -16,17 +16,17 @@
     Name::new(text).unwrap()
 }
 
-/// Seeded numbers.
-pub struct Draw(pub u64);
+/// Seeded random number generator.
+pub struct Random(pub u64);
 
-impl Draw {
+impl Random {
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(1);
         mix(mix(self.0)) % limit
     }
 
-    /// Returns true in `parts` of a million cases.
-    pub fn hits(&mut self, parts: u64) -> bool {
-        self.below(1_000_000) < parts
+    /// Returns true with a probability of `ppm` in a million.
+    pub fn chance(&mut self, ppm: u64) -> bool {
+        self.below(1_000_000) < ppm
     }
 }
--- a/crates/fleet/tests/common/process.rs
+++ b/crates/fleet/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! A planner process: it reads the log and the reports with a lag and may lose answers.
+//! A simulated planner process, which reads the log and the reports with a delay.
 
 use super::{
     name,
@@ -34,11 +34,11 @@
     VecDeque, //
 };
 
-/// A decision on its way to the log, with the failures that it knew of.
+/// A proposal that is not yet known to be in the log, and the failures that it took into account.
 pub struct Pending {
     pub record: Record,
     pub proposal: Proposal,
-    pub known: BTreeSet<Name>,
+    pub known_failures: BTreeSet<Name>,
 }
 
 pub struct Process {
@@ -47,8 +47,8 @@
     pub state: State,
     pub inventory: Inventory,
     pub pending: VecDeque<Pending>,
-    pub known: BTreeSet<Name>,
-    pub seen: usize,
+    pub known_failures: BTreeSet<Name>,
+    pub last_report: usize,
 }
 
 impl Process {
@@ -63,14 +63,14 @@
             state: State::new(1),
             inventory,
             pending: VecDeque::new(),
-            known: BTreeSet::new(),
-            seen: 0,
+            known_failures: BTreeSet::new(),
+            last_report: 0,
         }
     }
 
-    /// Folds all but the newest `behind` records.
-    pub fn read_log(&mut self, world: &World, behind: u64) {
-        let end = (world.log.len() as u64).saturating_sub(behind);
+    /// Applies all but the newest `lag` records.
+    pub fn read_log(&mut self, world: &World, lag: u64) {
+        let end = (world.log.len() as u64).saturating_sub(lag);
         while self.state.next() <= end {
             let offset = self.state.next();
             let mut record = world.log[offset as usize - 1].clone();
@@ -90,44 +90,44 @@
         }
     }
 
-    /// Takes the reports of `behind` steps ago.
-    pub fn read_reports(&mut self, world: &World, behind: usize) {
+    /// Reads the reports from `lag` steps ago, unless newer ones were read before.
+    pub fn read_reports(&mut self, world: &World, lag: usize) {
         let last = world
             .reports
             .len()
-            .saturating_sub(1 + behind)
-            .max(self.seen);
+            .saturating_sub(1 + lag)
+            .max(self.last_report);
         let Some((at, reports)) = world.reports.get(last) else {
             return;
         };
-        if last == self.seen && last > 0 {
+        if last == self.last_report && last > 0 {
             return;
         }
-        self.seen = last;
-        self.known.clear();
+        self.last_report = last;
+        self.known_failures.clear();
         for (host, report) in world.hosts.iter().zip(reports) {
             self.inventory.observe(&host.name, *report);
             if matches!(report.health, Health::Failed { .. }) {
-                self.known.insert(host.name.clone());
+                self.known_failures.insert(host.name.clone());
             }
         }
         self.inventory.set_observed(*at);
     }
 
-    /// Decides and queues the records.
+    /// Plans the wave and queues the proposals.
     pub fn decide(&mut self, rules: &Rules, now: Time) {
         let proposals = wave::plan(&self.inventory, rules, now);
         self.queue(proposals);
     }
 
-    /// Decides about moves, given the hosts that each pool needs; pools that the wave changes come later.
+    /// Plans moves for the hosts that each pool needs, and queues the proposals except for pools with a pending one.
     pub fn decide_moves(&mut self, rules: &Rules, needs: &[(&str, usize, Duration)], now: Time) {
-        let demands = needs.iter().filter_map(|&(pool, hosts, lasting)| {
+        let demands = needs.iter().filter_map(|&(pool, hosts, duration)| {
             let pool = self.inventory.find_pool(&name(pool))?;
             Some(Demand {
                 pool,
                 hosts,
-                lasting,
+                duration,
             })
         });
         let demands: Vec<Demand> = demands.collect();
@@ -169,7 +169,7 @@
             self.pending.push_back(Pending {
                 record: Record::Change(Change { origin, entries }),
                 proposal,
-                known: self.known.clone(),
+                known_failures: self.known_failures.clone(),
             });
         }
     }
--- a/crates/fleet/tests/common/world.rs
+++ b/crates/fleet/tests/common/world.rs
@@ -1,7 +1,7 @@
-//! Simulated hosts and the log. Hosts drain, reboot and fail as accepted records and the seed say.
+//! Simulated hosts and the log. Accepted records and the seed determine when hosts drain, reboot and fail.
 
 use super::{
-    Draw,
+    Random,
     SECOND,
     name, //
 };
@@ -35,22 +35,24 @@
     sync::Arc, //
 };
 
-/// A simulated host; its times are the truth that processes see with a lag.
+/// A simulated host. Processes see its state with a delay.
 #[derive(Clone, Debug)]
 pub struct Host {
     pub name: Name,
     pub pool: Name,
     pub zone: Name,
     pub rack: Name,
-    pub seen: Observation,
-    /// Time that its work takes to end, and what it declares.
+    pub observation: Observation,
+    /// Actual time until its work is complete.
     pub drain: Duration,
+    /// Time until its work is complete as the host reports it.
     pub declared: Duration,
     pub reboot: Duration,
     pub drained_at: Option<Time>,
     pub up_at: Option<Time>,
     pub rebooting: bool,
-    pub spoiled: bool,
+    /// Whether the host fails frequently since its last reboot.
+    pub faulty: bool,
 }
 
 pub struct World {
@@ -62,15 +64,17 @@
     pub now: Time,
     /// Reports of each step, the newest last.
     pub reports: Vec<(Time, Vec<Observation>)>,
-    /// Whether every basis is replaced by the one in force, which switches compare-and-set off.
+    /// Whether the basis of every entry is replaced by the current one, which disables compare-and-set.
     pub unchecked: bool,
+    /// Records that were rejected because of a stale basis.
     pub stale: u64,
     /// Moves that were completed.
     pub joins: u64,
-    pub spoil_returns: bool,
+    /// Whether hosts become faulty when the wave reboots them.
+    pub fail_returned: bool,
 }
 
-/// Describes pools by name, hosts and availability.
+/// Builds a world; `pools` gives name, number of hosts and availability in percent of each pool.
 pub fn build(pools: &[(String, usize, u32)], zones: usize, now: Time) -> World {
     build_with_spare(pools, zones, now, None)
 }
@@ -92,7 +96,7 @@
         unchecked: false,
         stale: 0,
         joins: 0,
-        spoil_returns: false,
+        fail_returned: false,
     };
     let mut values = Vec::new();
     let mut counts = vec![0; zones];
@@ -115,7 +119,7 @@
                 pool: name(pool),
                 zone: name(&format!("z{zone}")),
                 rack: name(&format!("z{zone}-r{rack}")),
-                seen: Observation {
+                observation: Observation {
                     health: Health::Healthy { since: Time::MIN },
                     work: Work::Idle,
                     booted: Time::MIN,
@@ -126,7 +130,7 @@
                 drained_at: None,
                 up_at: None,
                 rebooting: false,
-                spoiled: false,
+                faulty: false,
             };
             let pool = host.pool.clone();
             let assignment = Value::Assignment(Assignment { pool });
@@ -152,7 +156,7 @@
 }
 
 impl World {
-    /// Appends a record and lets the platform act on it if it is accepted.
+    /// Appends a record and, if it is accepted, applies its effects to the simulated hosts.
     pub fn append(&mut self, mut record: Record) -> Verdict {
         if let (true, Record::Change(change)) = (self.unchecked, &mut record) {
             for entry in &mut change.entries {
@@ -171,7 +175,7 @@
                 ) {
                     (Subject::Reservation(pool), _) => {
                         let reservation = self.reservation(pool);
-                        self.obey(&reservation);
+                        self.apply_reservation(&reservation);
                     }
                     (Subject::Host(host), Some(Value::Assignment(assignment))) => {
                         let host = &mut self.hosts[self.index[host]];
@@ -193,7 +197,7 @@
         }
     }
 
-    fn obey(&mut self, reservation: &Reservation) {
+    fn apply_reservation(&mut self, reservation: &Reservation) {
         for (host, absence) in &reservation.hosts {
             let host = &mut self.hosts[self.index[host]];
             match absence.step {
@@ -201,7 +205,7 @@
                     host.drained_at = Some(self.now + host.drain);
                 }
                 Step::Out if reservation.moves.contains_key(&host.name) => {}
-                Step::Out if !host.rebooting && host.seen.booted <= absence.since => {
+                Step::Out if !host.rebooting && host.observation.booted <= absence.since => {
                     host.rebooting = true;
                     host.fail(self.now, host.reboot);
                 }
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Moves to `now`: work ends, hosts come up, reports are made.
+    /// Advances the time to `now`: completes work and reboots that are due, and adds a report of all hosts.
     pub fn advance(&mut self, now: Time) {
         self.now = now;
         let mut reserved = BTreeSet::new();
@@ -220,15 +224,15 @@
         for host in &mut self.hosts {
             if host.up_at.is_some_and(|at| at <= now) {
                 host.up_at = None;
-                host.seen.health = Health::Healthy { since: now };
-                host.seen.booted = now;
-                host.spoiled |= host.rebooting && self.spoil_returns;
+                host.observation.health = Health::Healthy { since: now };
+                host.observation.booted = now;
+                host.faulty |= host.rebooting && self.fail_returned;
                 host.rebooting = false;
             }
             if !reserved.contains(&host.name) {
                 host.drained_at = None;
             }
-            host.seen.work = match host.drained_at {
+            host.observation.work = match host.drained_at {
                 Some(at) if at <= now => Work::Idle,
                 _ => Work::Busy {
                     remaining: host.declared,
@@ -236,17 +240,17 @@
                 },
             };
         }
-        let reports = self.hosts.iter().map(|host| host.seen).collect();
+        let reports = self.hosts.iter().map(|host| host.observation).collect();
         self.reports.push((now, reports));
     }
 
-    /// Lets hosts fail: `parts` of a million per host and step.
-    pub fn break_hosts(&mut self, draw: &mut Draw, parts: u64, step: Duration) {
+    /// Lets hosts fail at random, each with a probability of `ppm` in a million, or of 20% if it is faulty.
+    pub fn inject_failures(&mut self, random: &mut Random, ppm: u64, step: Duration) {
         let now = self.now;
         for host in &mut self.hosts {
-            let parts = if host.spoiled { 200_000 } else { parts };
-            if host.up_at.is_none() && draw.hits(parts) {
-                let steps = 1 + draw.below(8) as u32;
+            let ppm = if host.faulty { 200_000 } else { ppm };
+            if host.up_at.is_none() && random.chance(ppm) {
+                let steps = 1 + random.below(8) as u32;
                 host.fail(now, step * steps);
             }
         }
@@ -255,8 +259,8 @@
 
 impl Host {
     pub fn fail(&mut self, now: Time, span: Duration) {
-        if matches!(self.seen.health, Health::Healthy { .. }) {
-            self.seen.health = Health::Failed { since: now };
+        if matches!(self.observation.health, Health::Healthy { .. }) {
+            self.observation.health = Health::Failed { since: now };
         }
         self.up_at = self.up_at.max(Some(now + span));
     }
--- a/crates/fleet/tests/moves.rs
+++ b/crates/fleet/tests/moves.rs
@@ -1,9 +1,9 @@
-//! Moves over a week of changing demand against the fewest that meet the same demand.
+//! Compares the planner's moves over a week of changing demand with the fewest moves that meet it.
 
 mod common;
 
 use common::{
-    Draw,
+    Random,
     SECOND,
     name,
     process::Process,
@@ -13,18 +13,19 @@
 use sassafrascrank_fleet::Rules;
 use std::collections::BTreeMap;
 
-/// Bound of the design page, section 1.5: moves in percent of the fewest possible.
+/// Target of the design page, section 1.5: moves in percent of the fewest possible.
 const BOUND_PERCENT: u64 = 110;
 const POOLS: [&str; 4] = ["alba", "brisa", "cedro", "comun"];
 const HOSTS: [usize; 4] = [2, 2, 2, 3];
-const TOTAL: usize = 9;
+const HOST_COUNT: usize = 9;
 const STEP: Duration = Duration::from_secs(60);
 const PERIOD: Duration = Duration::from_secs(7_200);
 const PERIODS: usize = 84;
 
 type Need = [usize; 4];
 
-/// Hosts of each pool while one queue demands five times its mean of one host, and the others next to nothing.
+/// Returns the hosts that each pool needs while the pool `peak` needs `hosts`; each other pool but the spare one needs
+/// one host.
 fn need(peak: usize, hosts: usize) -> Need {
     let mut need = [1, 1, 1, 0];
     need[peak] = hosts;
@@ -35,20 +36,20 @@
     (0..PERIODS).map(|period| need(period % 3, hosts)).collect()
 }
 
-/// Peaks of two to six hosts in random order, two periods in a row at times.
+/// Returns peaks of two to six hosts in random order; a pool may have several peaks in a row.
 fn at_random(seed: u64) -> Vec<Need> {
-    let mut draw = Draw(seed << 20);
-    let peak = |_| need(draw.below(3) as usize, 2 + draw.below(5) as usize);
+    let mut random = Random(seed << 20);
+    let peak = |_| need(random.below(3) as usize, 2 + random.below(5) as usize);
     (0..PERIODS).map(peak).collect()
 }
 
-/// Returns the fewest moves by dynamic programming over all divisions of the hosts.
+/// Returns the fewest moves, by dynamic programming over all distributions of the hosts to the pools.
 fn count_fewest(needs: &[Need]) -> u64 {
     let mut states = Vec::new();
-    for a in 0..=TOTAL {
-        for b in 0..=TOTAL - a {
-            for c in 0..=TOTAL - a - b {
-                states.push([a, b, c, TOTAL - a - b - c]);
+    for a in 0..=HOST_COUNT {
+        for b in 0..=HOST_COUNT - a {
+            for c in 0..=HOST_COUNT - a - b {
+                states.push([a, b, c, HOST_COUNT - a - b - c]);
             }
         }
     }
@@ -70,8 +71,8 @@
     costs.into_values().min().unwrap()
 }
 
-/// Returns the planner's moves and the periods at whose end a need was not met.
-fn run(needs: &[Need], lasting: Duration) -> (u64, usize) {
+/// Returns the number of moves by the planner, and the number of periods at whose end a need was not met.
+fn run(needs: &[Need], duration: Duration) -> (u64, usize) {
     let rules = Rules::default();
     let start = rules.deadline(900) + SECOND;
     let pools = POOLS.iter().zip(HOSTS);
@@ -97,7 +98,7 @@
             let needs: Vec<_> = POOLS
                 .iter()
                 .zip(need)
-                .map(|(&pool, &hosts)| (pool, hosts, lasting))
+                .map(|(&pool, &hosts)| (pool, hosts, duration))
                 .collect();
             process.decide_moves(&rules, &needs, world.now);
             while let Some(pending) = process.pending.pop_front() {
@@ -129,7 +130,7 @@
     (row, percent, unmet)
 }
 
-/// Guards against hosts that move back and forth, and against a need that is never met.
+/// Guards against hosts that move back and forth between pools, and against needs that are not met.
 #[test]
 fn moves_stay_near_the_fewest_possible() {
     let mut lines =
@@ -142,8 +143,9 @@
             over.push(row);
         }
     }
-    // The bound holds for peaks in turn. In random order the fewest moves need the order in advance; the planner
-    // moves as many hosts as a peak lacks and no more, but can't know which pool has its peak last.
+    // The bound applies to peaks in turn. With peaks in random order, the fewest moves can only be reached by knowing
+    // the order in advance: the planner moves only as many hosts as are missing, but cannot know which pool will have
+    // its next peak last.
     for seed in 1..=4 {
         let (row, _, unmet) = measure(&format!("random, seed {seed}"), &at_random(seed));
         assert_eq!(unmet, 0, "seed {seed}: a need was not met");
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -1,9 +1,9 @@
-//! Duration of a whole wave against its lower bound and against a fixed batch of one host per pool.
+//! Compares the duration of a whole wave with its lower bound and with maintaining one host per pool at a time.
 
 mod common;
 
 use common::{
-    Draw, SECOND,
+    Random, SECOND,
     process::Process,
     world::{
         self,
@@ -14,7 +14,7 @@
 use sassafrascrank_fleet::Rules;
 use std::collections::BTreeMap;
 
-/// Bound of the design page, section 1.5: rollout in percent of its lower bound.
+/// Target of the design page, section 1.5: duration of a wave in percent of its lower bound.
 const BOUND_PERCENT: u64 = 110;
 
 struct Size {
@@ -23,9 +23,9 @@
     hosts: usize,
     zones: usize,
     step: Duration,
-    /// The table shows the seed with the worst ratio.
+    /// Number of seeds; the table shows the one with the worst ratio.
     seeds: u64,
-    /// Whether hosts declare how long their work takes; otherwise the declaration is unrelated.
+    /// Whether hosts report the actual duration of their work; otherwise the reported duration is random.
     declared: bool,
 }
 
@@ -38,17 +38,17 @@
         .collect();
     let start = rules.deadline(900) + SECOND;
     let mut world = world::build(&pools, size.zones, start);
-    let mut draw = Draw(seed << 20);
+    let mut random = Random(seed << 20);
     for host in &mut world.hosts {
-        host.drain = SECOND * (120 + draw.below(480) as u32);
-        host.reboot = SECOND * (240 + draw.below(120) as u32);
-        let other = SECOND * (120 + draw.below(480) as u32);
+        host.drain = SECOND * (120 + random.below(480) as u32);
+        host.reboot = SECOND * (240 + random.below(120) as u32);
+        let other = SECOND * (120 + random.below(480) as u32);
         host.declared = if size.declared { host.drain } else { other };
     }
     world
 }
 
-/// Runs one planner until every host is done.
+/// Runs one planner until every host is maintained; returns the duration of the wave and the number of log appends.
 fn run(size: &Size, seed: u64, rules: &Rules) -> (Duration, usize) {
     let mut world = build(size, seed, rules);
     let mut process = Process::new("p0", &world);
@@ -74,38 +74,41 @@
     (world.now.since(start), world.log.len() - 1)
 }
 
-fn spans(world: &World, rules: &Rules) -> BTreeMap<Name, BTreeMap<Name, Vec<Duration>>> {
-    let mut spans: BTreeMap<Name, BTreeMap<Name, Vec<Duration>>> = BTreeMap::new();
+fn durations(world: &World, rules: &Rules) -> BTreeMap<Name, BTreeMap<Name, Vec<Duration>>> {
+    let mut durations: BTreeMap<Name, BTreeMap<Name, Vec<Duration>>> = BTreeMap::new();
     for host in &world.hosts {
-        let zones = spans.entry(host.pool.clone()).or_default();
-        let span = host.drain + host.reboot + rules.proof;
-        zones.entry(host.zone.clone()).or_default().push(span);
+        let zones = durations.entry(host.pool.clone()).or_default();
+        let duration = host.drain + host.reboot + rules.probation;
+        zones.entry(host.zone.clone()).or_default().push(duration);
     }
-    spans
+    durations
 }
 
-/// Returns the longest pool's bound: in each zone, no schedule of `width` hosts at once beats the longest host, the
-/// mean per lane, or the two shortest of the `width` + 1 longest hosts, of which two share a lane.
+/// Returns the lower bound for the slowest pool.
+///
+/// With `width` hosts of a zone out of service at once, the zone takes at least as long as its longest host, as the sum
+/// over all hosts divided by `width`, and as the two shortest of the `width` + 1 longest hosts, because two of these
+/// must follow each other.
 fn bound(world: &World, rules: &Rules) -> Duration {
-    let pools = spans(world, rules).into_iter().map(|(pool, zones)| {
+    let pools = durations(world, rules).into_iter().map(|(pool, zones)| {
         let hosts: usize = zones.values().map(Vec::len).sum();
         let width = hosts - (hosts * world.percent[&pool]).div_ceil(100);
-        let zones = zones.into_values().map(|mut spans| {
-            spans.sort_unstable_by(|a, b| b.cmp(a));
-            let mean = spans.iter().sum::<Duration>() / width as u32;
-            let pair = spans
+        let zones = zones.into_values().map(|mut durations| {
+            durations.sort_unstable_by(|a, b| b.cmp(a));
+            let mean = durations.iter().sum::<Duration>() / width as u32;
+            let pair = durations
                 .get(width)
-                .map_or(Duration::ZERO, |&next| spans[width - 1] + next);
-            spans[0].max(mean).max(pair)
+                .map_or(Duration::ZERO, |&next| durations[width - 1] + next);
+            durations[0].max(mean).max(pair)
         });
         zones.sum::<Duration>()
     });
     pools.max().unwrap()
 }
 
-/// Returns the time of a wave that takes one host of each pool at a time and starts the next without delay.
+/// Returns the duration of a wave that maintains one host of each pool at a time, without delay between hosts.
 fn baseline(world: &World, rules: &Rules) -> Duration {
-    let pools = spans(world, rules).into_values();
+    let pools = durations(world, rules).into_values();
     let sums = pools.map(|zones| zones.into_values().flatten().sum());
     sums.max().unwrap()
 }
@@ -124,7 +127,7 @@
     (percent, row)
 }
 
-/// Guards against a wave that leaves budget unused or reacts late.
+/// Guards against a wave that leaves budget unused or starts steps late.
 #[test]
 fn rollout_stays_near_its_lower_bound() {
     let size = |title, pools, hosts, zones, step, seeds, declared| Size {
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -1,9 +1,9 @@
-//! Seeded schedules of failures, races, outages, lost answers, pauses and partitions.
+//! Seeded fault schedules: failed hosts, racing processes, log outages, lost answers, paused processes and partitions.
 
 mod common;
 
 use common::{
-    Draw, SECOND,
+    Random, SECOND,
     process::{
         Pending,
         Process, //
@@ -26,55 +26,60 @@
 use sassafrascrank_ledger::Verdict;
 use std::collections::BTreeSet;
 
-/// Schedules of each test; five tests make 10,000.
+/// Schedules in each test; the five tests run 10,000 together.
 const SCHEDULES: u64 = 2_000;
 const STEP: Duration = Duration::from_secs(30);
 const STEPS: u64 = 60;
 
-/// Failures and restarts of an ordinary day (182 over 1,400 hosts), in millionths per host and step of 30 s.
-const ORDINARY: u64 = 182 * 1_000_000 / 1_400 / 2_880;
+/// Probability in millionths that a host fails or restarts in a step of 30 s, from 182 failures a day on 1,400 hosts.
+const FAILURE_RATE_PPM: u64 = 182 * 1_000_000 / 1_400 / 2_880;
 
 #[derive(Clone, Copy)]
-enum Day {
+enum Scenario {
     Ordinary,
-    /// A hundred times the failures.
-    Bad,
+    /// Hosts fail a hundred times as often as in `Ordinary`; this holds for the following scenarios too.
+    ManyFailures,
+    /// All hosts of a rack fail at once.
     Rack,
+    /// All hosts of a zone fail at once.
     Zone,
-    /// Every third append fails or loses its answer, and the log is down for up to 20 steps.
+    /// Every third append fails or its answer is lost, and the log is down for up to 20 steps.
     Log,
 }
 
-/// Times short enough that most of a wave fits into one schedule.
+/// Returns time limits short enough for most of a wave to fit into one schedule.
 fn rules() -> Rules {
     Rules {
         drain_limit: SECOND * 60,
         reboot: SECOND * 30,
-        proof: SECOND * 30,
+        probation: SECOND * 30,
         return_limit: SECOND * 180,
-        settle: SECOND * 90,
-        freshness: SECOND * 90,
+        recovery_delay: SECOND * 90,
+        report_age_limit: SECOND * 90,
         ..Rules::default()
     }
 }
 
 struct Run {
     world: World,
-    draw: Draw,
-    day: Day,
+    random: Random,
+    scenario: Scenario,
     violation: Option<String>,
-    /// Whether the log is down for all processes.
-    down: bool,
+    /// Whether all processes fail to reach the log.
+    log_down: bool,
     drains: u64,
     repeats: u64,
 }
 
-/// Invariant `budget`: no voluntary act takes a pool below its budget, given the failures that its author knew of
-/// or that were on record and that the act did not declare recovered; and one zone of a pool is worked on at a time.
+/// Checks the invariant `budget`.
+///
+/// No proposal takes hosts out of service so that the pool falls below its budget. Counted as failed are the hosts that
+/// the proposing process knew to have failed, and the recorded failures that the proposal does not clear. Only one zone
+/// of a pool has reserved hosts at a time.
 fn check_budget(
     world: &World,
     pool: &Name,
-    known: &BTreeSet<Name>,
+    known_failures: &BTreeSet<Name>,
     failed: &BTreeSet<Name>,
 ) -> Option<String> {
     let reservation = world.reservation(pool);
@@ -82,7 +87,7 @@
     let is_out = |host: &&world::Host| {
         let name = &host.name;
         reservation.hosts.contains_key(name)
-            || known.contains(name)
+            || known_failures.contains(name)
             || failed.contains(name)
             || host.rebooting
     };
@@ -96,14 +101,15 @@
     }
     let zones = |host: &world::Host| {
         let reserved = reservation.hosts.contains_key(&host.name)
-            || host.rebooting && !known.contains(&host.name);
+            || host.rebooting && !known_failures.contains(&host.name);
         reserved.then(|| host.zone.clone())
     };
     let zones: BTreeSet<Name> = hosts.by_ref().filter_map(zones).collect();
     (zones.len() > 1).then(|| format!("budget: {pool}: works on {zones:?} at once"))
 }
 
-/// Invariant `graceful`: a host goes out only when its work has ended or its drain limit has passed.
+/// Checks the invariant `graceful`: a host goes out of service only when its work is complete or its drain limit has
+/// passed.
 fn check_graceful(world: &World, out: &BTreeSet<Name>) -> Option<String> {
     let hosts = world.hosts.iter().filter(|host| out.contains(&host.name));
     let mut early = hosts.filter(|host| {
@@ -121,7 +127,7 @@
     ))
 }
 
-/// Invariant `one-pool`: a host is reserved by the one pool that it is assigned to.
+/// Checks the invariant `one-pool`: a host is reserved only by the pool that it is assigned to.
 fn check_one_pool(world: &World) -> Option<String> {
     let mut seen = BTreeSet::new();
     for pool in world.percent.keys() {
@@ -137,14 +143,14 @@
 }
 
 impl Run {
-    /// Appends a decision; returns false if its answer is lost or the log is down, so that it is sent again.
+    /// Appends a proposal; returns false if the log is down or the answer is lost, so that it must be sent again.
     fn append(&mut self, pending: &Pending) -> bool {
-        let faults = if matches!(self.day, Day::Log) {
+        let faults = if matches!(self.scenario, Scenario::Log) {
             330_000
         } else {
             10_000
         };
-        if self.down || self.draw.hits(faults) {
+        if self.log_down || self.random.chance(faults) {
             return false;
         }
         let Subject::Reservation(pool) = &pending.proposal.subject else {
@@ -165,7 +171,7 @@
                     let kept =
                         |host: &&Name| !actions.contains(&Action::Recovered((*host).clone()));
                     let failed = before.failed.keys().filter(kept).cloned().collect();
-                    let found = check_budget(&self.world, pool, &pending.known, &failed);
+                    let found = check_budget(&self.world, pool, &pending.known_failures, &failed);
                     self.violation = self.violation.take().or(found);
                 }
                 let out = after.hosts.iter().filter(|(host, absence)| {
@@ -180,21 +186,21 @@
             Verdict::Invalid(_) if self.world.unchecked => {}
             other => panic!("{other:?}"),
         }
-        !self.draw.hits(faults)
+        !self.random.chance(faults)
     }
 
-    /// Loses a rack or zone in the middle.
-    fn strike(&mut self, step: u64) {
+    /// Fails all hosts of a random rack or zone after a third of the schedule.
+    fn fail_domain(&mut self, step: u64) {
         if step != STEPS / 3 {
             return;
         }
-        let victim = self.draw.below(self.world.hosts.len() as u64) as usize;
-        let victim = self.world.hosts[victim].clone();
+        let failed_host = self.random.below(self.world.hosts.len() as u64) as usize;
+        let failed_host = self.world.hosts[failed_host].clone();
         let now = self.world.now;
         for host in &mut self.world.hosts {
-            let hit = match self.day {
-                Day::Rack => host.rack == victim.rack,
-                Day::Zone => host.zone == victim.zone,
+            let hit = match self.scenario {
+                Scenario::Rack => host.rack == failed_host.rack,
+                Scenario::Zone => host.zone == failed_host.zone,
                 _ => false,
             };
             if hit {
@@ -204,56 +210,63 @@
     }
 }
 
-fn run(seed: u64, day: Day, unchecked: bool) -> Run {
+fn run(seed: u64, scenario: Scenario, unchecked: bool) -> Run {
     let rules = rules();
     let start = Time::from_millis(rules.deadline(900).as_millis() + 1);
     let pools = [("alba".to_string(), 8, 70), ("comun".to_string(), 6, 80)];
     let mut run = Run {
         world: world::build(&pools, 3, start),
-        draw: Draw(seed << 20),
-        day,
+        random: Random(seed << 20),
+        scenario,
         violation: None,
-        down: false,
+        log_down: false,
         drains: 0,
         repeats: 0,
     };
     run.world.unchecked = unchecked;
-    let rate = if matches!(day, Day::Ordinary) {
-        ORDINARY
+    let rate = if matches!(scenario, Scenario::Ordinary) {
+        FAILURE_RATE_PPM
     } else {
-        ORDINARY * 100
+        FAILURE_RATE_PPM * 100
     };
     for host in &mut run.world.hosts {
-        host.drain = SECOND * (run.draw.below(120) as u32);
-        host.declared = SECOND * (run.draw.below(120) as u32);
-        host.reboot = SECOND * (30 + run.draw.below(60) as u32);
+        host.drain = SECOND * (run.random.below(120) as u32);
+        host.declared = SECOND * (run.random.below(120) as u32);
+        host.reboot = SECOND * (30 + run.random.below(60) as u32);
     }
-    let count = 2 + run.draw.below(3);
+    let count = 2 + run.random.below(3);
     let mut processes: Vec<(Process, u64)> = (0..count)
         .map(|number| (Process::new(&format!("p{number}"), &run.world), 0))
         .collect();
-    let outage = match day {
-        Day::Log => {
-            let from = run.draw.below(STEPS);
-            from..from + run.draw.below(20)
+    let outage = match scenario {
+        Scenario::Log => {
+            let from = run.random.below(STEPS);
+            from..from + run.random.below(20)
         }
         _ => 0..0,
     };
     for step in 0..STEPS {
-        run.down = outage.contains(&step);
+        run.log_down = outage.contains(&step);
         run.world.advance(start + STEP * (step as u32));
-        run.world.break_hosts(&mut run.draw, rate, STEP);
-        run.strike(step);
-        for (process, away) in &mut processes {
-            step_process(&mut run, process, away, step, &rules);
+        run.world.inject_failures(&mut run.random, rate, STEP);
+        run.fail_domain(step);
+        for (process, paused_until) in &mut processes {
+            run_process(&mut run, process, paused_until, step, &rules);
         }
     }
     run
 }
 
-/// One turn of a process: it may be paused between decision and append, cut off, or behind.
-fn step_process(run: &mut Run, process: &mut Process, away: &mut u64, step: u64, rules: &Rules) {
-    if *away > step {
+/// Runs one step of a process. It may be partitioned from log and reports, read them with a delay, or be paused between
+/// decision and append.
+fn run_process(
+    run: &mut Run,
+    process: &mut Process,
+    paused_until: &mut u64,
+    step: u64,
+    rules: &Rules,
+) {
+    if *paused_until > step {
         return;
     }
     while let Some(pending) = process.pending.pop_front() {
@@ -262,16 +275,16 @@
             return;
         }
     }
-    let cut = run.draw.hits(50_000);
-    if !cut {
-        let behind = run.draw.below(3);
-        if !run.down {
-            process.read_log(&run.world, behind.saturating_sub(1));
+    let partitioned = run.random.chance(50_000);
+    if !partitioned {
+        let log_lag = run.random.below(3);
+        if !run.log_down {
+            process.read_log(&run.world, log_lag.saturating_sub(1));
         }
-        process.read_reports(&run.world, run.draw.below(2) as usize);
+        process.read_reports(&run.world, run.random.below(2) as usize);
     }
     process.decide(rules, run.world.now);
-    // Half of the hosts change sides with every third of the schedule.
+    // The demand shifts from `alba` to `comun` for the second third of the schedule.
     let (alba, comun) = if step * 3 / STEPS == 1 {
         (6, 8)
     } else {
@@ -279,11 +292,11 @@
     };
     let needs = [("alba", alba, SECOND * 900), ("comun", comun, SECOND * 900)];
     process.decide_moves(rules, &needs, run.world.now);
-    if run.draw.hits(50_000) {
-        *away = step + 1 + run.draw.below(10);
+    if run.random.chance(50_000) {
+        *paused_until = step + 1 + run.random.below(10);
         return;
     }
-    if cut || run.draw.hits(300_000) {
+    if partitioned || run.random.chance(300_000) {
         return;
     }
     while let Some(pending) = process.pending.pop_front() {
@@ -294,12 +307,12 @@
     }
 }
 
-/// Runs the schedules of one test on two threads; the sums don't depend on their order.
-fn run_all(day: Day, base: u64) -> String {
+/// Runs the schedules of one test on two threads; the sums do not depend on the order of the schedules.
+fn run_all(scenario: Scenario, base: u64) -> String {
     let half = SCHEDULES / 2;
     let counts = std::thread::scope(|scope| {
-        let second = scope.spawn(move || run_seeds(day, base + half, half));
-        let first = run_seeds(day, base, half);
+        let second = scope.spawn(move || run_seeds(scenario, base + half, half));
+        let first = run_seeds(scenario, base, half);
         let second = second
             .join()
             .unwrap_or_else(|panic| std::panic::resume_unwind(panic));
@@ -311,10 +324,10 @@
     )
 }
 
-fn run_seeds(day: Day, base: u64, count: u64) -> [u64; 4] {
+fn run_seeds(scenario: Scenario, base: u64, count: u64) -> [u64; 4] {
     let mut counts = [0; 4];
     for seed in base..base + count {
-        let run = run(seed, day, false);
+        let run = run(seed, scenario, false);
         if let Some(violation) = run.violation {
             panic!("seed {seed}: {violation}");
         }
@@ -326,40 +339,41 @@
     counts
 }
 
-/// Guards against a drain that the budget forbids on an ordinary day with racing processes.
+/// Guards against racing processes that together drain more hosts than the budget allows, at an ordinary failure rate.
 #[test]
-fn ordinary_day_keeps_budgets() {
-    insta::assert_snapshot!(run_all(Day::Ordinary, 0));
+fn ordinary_failures_keep_budgets() {
+    insta::assert_snapshot!(run_all(Scenario::Ordinary, 0));
 }
 
-/// Guards against drains that ignore hosts that failed on their own.
+/// Guards against drains that don't count failed hosts against the budget.
 #[test]
-fn bad_day_keeps_budgets() {
-    insta::assert_snapshot!(run_all(Day::Bad, 10_000));
+fn many_failures_keep_budgets() {
+    insta::assert_snapshot!(run_all(Scenario::ManyFailures, 10_000));
 }
 
-/// Guards against a wave that goes on through the loss of a rack.
+/// Guards against drains that exceed the budget after a whole rack failed.
 #[test]
 fn lost_rack_keeps_budgets() {
-    insta::assert_snapshot!(run_all(Day::Rack, 20_000));
+    insta::assert_snapshot!(run_all(Scenario::Rack, 20_000));
 }
 
-/// Guards against a wave that goes on through the loss of a zone.
+/// Guards against drains that exceed the budget after a whole zone failed.
 #[test]
 fn lost_zone_keeps_budgets() {
-    insta::assert_snapshot!(run_all(Day::Zone, 30_000));
+    insta::assert_snapshot!(run_all(Scenario::Zone, 30_000));
 }
 
-/// Guards against an append that takes effect twice, or late, after its answer was lost.
+/// Guards against a proposal that is applied twice, or on an outdated state, after the answer to its append was lost.
 #[test]
 fn log_faults_keep_budgets() {
-    insta::assert_snapshot!(run_all(Day::Log, 40_000));
+    insta::assert_snapshot!(run_all(Scenario::Log, 40_000));
 }
 
-/// Guards against schedules too mild to find a violation: without compare-and-set there must be some.
+/// Guards against schedules that cannot detect a violation: with compare-and-set disabled, some must find one.
 #[test]
 fn schedules_find_violations_without_basis_check() {
-    let found = (50_000..50_200).filter(|&seed| run(seed, Day::Bad, true).violation.is_some());
+    let found = (50_000..50_200)
+        .filter(|&seed| run(seed, Scenario::ManyFailures, true).violation.is_some());
     let count = found.count();
     assert!(
         count > 0,
--- a/crates/fleet/tests/wave.rs
+++ b/crates/fleet/tests/wave.rs
@@ -1,9 +1,9 @@
-//! Rules of one wave: stop, pause, skip, forecast and explanation.
+//! A single wave: automatic stops, operator commands, forecasts and explanations.
 
 mod common;
 
 use common::{
-    Draw, SECOND, name,
+    Random, SECOND, name,
     process::Process,
     world::{
         self,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Guards against a wave that goes on after a rack failed, and against one that an operator can't resume.
+/// Guards against a wave that continues after a rack failed, and against a stopped wave that can't be resumed.
 #[test]
 fn lost_rack_stops_the_wave_until_resumed() {
     let mut fleet = Fleet::new(&[("alba", 10, 80), ("comun", 10, 80)], SECOND);
@@ -123,7 +123,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a rack whose loss goes unseen because one of its hosts had failed before the wave.
+/// Guards against a failed rack that goes undetected because one of its hosts had failed before the wave.
 #[test]
 fn older_failure_does_not_hide_a_lost_rack() {
     let mut fleet = Fleet::new(&[("alba", 20, 80)], SECOND);
@@ -141,12 +141,12 @@
     assert_eq!(fleet.progress(), [Progress::Stopped(Cause::Rack)]);
 }
 
-/// Guards against a wave that reboots every host into a broken release.
+/// Guards against a wave that goes on although hosts fail after their reboot, for example because of a broken release.
 #[test]
 fn failing_returned_hosts_stop_the_wave() {
     let mut fleet = Fleet::new(&[("alba", 20, 80), ("comun", 20, 80)], SECOND);
-    fleet.world.spoil_returns = true;
-    let mut draw = Draw(7);
+    fleet.world.fail_returned = true;
+    let mut random = Random(7);
     let mut steps = 0;
     while !fleet
         .progress()
@@ -154,15 +154,15 @@
     {
         assert!(steps < 1_000, "the wave did not stop: {}", fleet.count());
         fleet.step();
-        // A spoiled host fails within a few minutes.
-        fleet.world.break_hosts(&mut draw, 0, SECOND * 60);
+        // A faulty host fails within a few minutes.
+        fleet.world.inject_failures(&mut random, 0, SECOND * 60);
         steps += 1;
     }
     let summary = explain::explain_wave(&fleet.process.inventory, &fleet.rules, fleet.world.now);
     insta::assert_snapshot!(format!("{}\n{summary}", fleet.count()));
 }
 
-/// Guards against a stop rule that fires on equal failure rates or ignores a clear excess.
+/// Guards against a stop rule that stops at equal failure rates or misses a clearly higher rate of returned hosts.
 #[test]
 fn stop_rule_compares_rates() {
     let cases = [
@@ -190,7 +190,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a stop rule that halts harmless waves: equal rates of an ordinary day, a look at each failure.
+/// Guards against a stop rule that stops too many waves at equal failure rates. Hosts fail at an ordinary rate, and the
+/// rule is evaluated at each failure.
 #[test]
 fn ordinary_failures_rarely_stop_a_wave() {
     const WAVES: u64 = 400;
@@ -198,11 +199,15 @@
     const WAVE_SECONDS: u64 = 8_440;
     let mut stops = 0;
     for seed in 0..WAVES {
-        let mut draw = Draw(seed << 20);
-        let returns: Vec<u64> = (0..HOSTS).map(|_| draw.below(WAVE_SECONDS)).collect();
-        let fails =
-            |draw: &mut Draw| (draw.below(86_400 * HOSTS) / 182, draw.below(HOSTS) as usize);
-        let mut failures: Vec<(u64, usize)> = (0..HOSTS).map(|_| fails(&mut draw)).collect();
+        let mut random = Random(seed << 20);
+        let returns: Vec<u64> = (0..HOSTS).map(|_| random.below(WAVE_SECONDS)).collect();
+        let fails = |random: &mut Random| {
+            (
+                random.below(86_400 * HOSTS) / 182,
+                random.below(HOSTS) as usize,
+            )
+        };
+        let mut failures: Vec<(u64, usize)> = (0..HOSTS).map(|_| fails(&mut random)).collect();
         failures.retain(|&(at, _)| at < WAVE_SECONDS);
         let is_stopped = |&(now, _): &(u64, usize)| {
             let mut evidence = Evidence::default();
@@ -225,7 +230,7 @@
     assert!(stops * 24 <= WAVES, "{stops} of {WAVES} waves stopped");
 }
 
-/// Guards against drains during a pause, a skipped host that is drained, and a wave that does not go on.
+/// Guards against drains during a pause, a skipped host that is drained, and a resumed wave that does not continue.
 #[test]
 fn operator_pauses_skips_and_resumes() {
     let mut fleet = Fleet::new(&[("alba", 10, 80)], SECOND);
@@ -248,12 +253,13 @@
     fleet.append();
     fleet.run(1_000);
     lines.push(format!("resumed: {}", fleet.count()));
-    let booted = fleet.world.hosts[9].seen.booted;
+    let booted = fleet.world.hosts[9].observation.booted;
     assert_eq!(booted, Time::MIN, "the skipped host was rebooted");
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a wave that silently can't finish: no room, too little time, work that can't be moved.
+/// Guards against a wave that cannot finish in time without a forecast that says so: the budget is used up, the time is
+/// too short, or work can't be moved.
 #[test]
 fn forecast_names_pool_budget_and_time() {
     let pools = [("alba", 4, 80), ("brisa", 10, 80)];
@@ -267,7 +273,7 @@
         lines.extend(found.iter().map(ToString::to_string));
     }
     let mut fleet = Fleet::new(&pools, SECOND);
-    fleet.rules.freshness = SECOND * 3_600;
+    fleet.rules.report_age_limit = SECOND * 3_600;
     fleet.run(2);
     let now = fleet.world.now + fleet.rules.drain_limit + STEP;
     let drained = fleet
@@ -278,19 +284,19 @@
         .next()
         .cloned()
         .unwrap();
-    let mut seen = fleet.world.hosts[fleet.world.index[&drained]].seen;
-    seen.work = Work::Busy {
+    let mut observation = fleet.world.hosts[fleet.world.index[&drained]].observation;
+    observation.work = Work::Busy {
         remaining: SECOND,
         movable: false,
     };
-    fleet.process.inventory.observe(&drained, seen);
+    fleet.process.inventory.observe(&drained, observation);
     lines.push("pinned work:".into());
     let found = wave::forecast(&fleet.process.inventory, &fleet.rules, now);
     lines.extend(found.iter().map(ToString::to_string));
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against an explanation without the records and figures that decided.
+/// Guards against an explanation that omits the records and counts behind a decision.
 #[test]
 fn explanations_name_records_and_figures() {
     let mut fleet = Fleet::new(&[("alba", 10, 80)], SECOND);
