--- a/crates/ledger/examples/size.rs
+++ b/crates/ledger/examples/size.rs
@@ -1,7 +1,7 @@
-//! Measures fold time and memory of the configuration at one of three sizes.
+//! Measures the memory of a configuration, and the time to apply changes to it, at one of three sizes.
 //!
 //! Run with `cargo run --release -p sassafrascrank-ledger --example size -- 1`; the argument 0, 1 or 2 chooses the
-//! size. Each size takes a process of its own, because freed memory of one would hide that of the next.
+//! size. Each size needs a process of its own, because memory freed by one would hide that of the next.
 
 use core::time::Duration;
 use sassafrascrank_base::{
@@ -35,7 +35,7 @@
 /// Customers, pools and hosts: a tenth of the target size, the target size, and twice the target size.
 const SIZES: [(u32, u32, u32); 3] = [(10, 20, 140), (100, 199, 1_400), (200, 398, 2_800)];
 
-/// Changes that are timed at each size, the number of a day at the target size.
+/// Changes that are timed at each size: those of one day at the target size.
 const CHANGES: u32 = 1_300;
 
 /// Pools in one contract.
@@ -48,22 +48,22 @@
         eprintln!("argument {argument}: use 0, 1 or 2");
         return;
     };
-    let before = resident();
+    let before = resident_bytes();
     let mut state = State::new(1);
     fill(&mut state, customers, pools, hosts);
-    let memory = resident().saturating_sub(before);
-    let fold = time_changes(&mut state, customers, pools);
-    let copy = time_import(&state);
-    println!("customers  pools  hosts  fold of one change  snapshot and import  resident memory");
+    let memory = resident_bytes().saturating_sub(before);
+    let change_time = time_changes(&mut state, customers, pools);
+    let import_time = time_import(&state);
+    println!("customers  pools  hosts  time of one change  snapshot and import  resident memory");
     println!(
         "{customers:>9} {pools:>6} {hosts:>6} {:>16.1} us {:>17.0} us {:>11} KiB",
-        fold.as_secs_f64() * 1e6 / f64::from(CHANGES),
-        copy.as_secs_f64() * 1e6,
+        change_time.as_secs_f64() * 1e6 / f64::from(CHANGES),
+        import_time.as_secs_f64() * 1e6,
         memory / 1024
     );
 }
 
-/// Folds one change for each subject.
+/// Applies one change for each subject.
 fn fill(state: &mut State, customers: u32, pools: u32, hosts: u32) {
     for index in 0..pools {
         let value = Value::Pool(Arc::new(Pool {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Changes contracts and assignments in turn and returns the time of all folds.
+/// Changes contracts and assignments alternately and returns the total time of applying the changes.
 fn time_changes(state: &mut State, customers: u32, pools: u32) -> Duration {
     let records: Vec<Record> = (0..CHANGES)
         .map(|index| {
@@ -111,7 +111,7 @@
     start.elapsed()
 }
 
-/// Returns the basis that `subject` will have when the change with this index is folded.
+/// Returns the basis that `subject` will have when the change with this index is applied.
 fn basis_after(state: &State, subject: &Subject, index: u32, customers: u32) -> u64 {
     match (subject, index.checked_sub(2 * customers)) {
         (Subject::Customer(_), Some(last)) => state.next() + u64::from(last),
@@ -189,7 +189,7 @@
 }
 
 /// Returns the resident memory of this process in bytes, 0 where `/proc` is missing.
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
         .split(' ')
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,6 +1,7 @@
-//! Fold of the configuration stream: bases, repeats, snapshots and handover between peers.
+//! State of the configuration, built by applying the records of the stream `config` in order.
 //!
-//! The crate decides only; reading, appending and the encoding of records lie in other crates.
+//! The crate detects stale and repeated changes, checks values against each other, and takes over the state from
+//! snapshots and peers. It does no I/O: other crates read, append and encode records.
 
 pub mod record;
 pub mod schedule;
--- a/crates/ledger/src/record/origin.rs
+++ b/crates/ledger/src/record/origin.rs
@@ -1,18 +1,18 @@
-//! Identity of a record, by which a repeated append is recognised.
+//! Identity of a record, used to detect repeated appends.
 
 use core::fmt;
 use sassafrascrank_base::prelude::*;
 
-/// Writer of a record and the record's place among that writer's records.
+/// Writer of a record and the record's sequence number.
 ///
-/// A writer appends its records one after the other, so that their sequences increase in the stream.
+/// A writer appends its records one after the other, so their sequence numbers increase along the stream.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Origin {
-    /// Name of the host or operator.
+    /// Name of the host or operator that wrote the record.
     pub writer: Name,
-    /// Distinguishes processes of the same name; every process picks a new one.
+    /// Distinguishes processes with the same name; every process uses a new one.
     pub incarnation: u64,
-    /// Number of the record, from 1.
+    /// Number of the record among those of its writer and incarnation, from 1.
     pub sequence: u64,
 }
 
--- a/crates/ledger/src/record/record.rs
+++ b/crates/ledger/src/record/record.rs
@@ -1,4 +1,4 @@
-//! Changes and snapshots.
+//! Change and snapshot records.
 
 use super::{
     Image,
@@ -13,40 +13,40 @@
 /// New value of one subject.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// What the value is about.
+    /// Subject of the value.
     pub subject: Subject,
-    /// Offset that the writer saw in force for the subject; see [`State::basis`](crate::State::basis).
+    /// Offset of the subject's value that the writer had read; see [`State::basis`](crate::State::basis).
     pub basis: u64,
     /// The new value.
     pub value: Value,
 }
 
-/// Values that come into force together or not at all.
+/// Values that take effect together or not at all.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// Who wrote it.
+    /// Identity of the record.
     pub origin: Origin,
     /// New values, each subject once.
     pub entries: Vec<Entry>,
 }
 
-/// Whole state, for processes that start after older records have expired.
+/// Whole state, for processes that start after the log has deleted older records.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
-    /// Who wrote it.
+    /// Identity of the record.
     pub origin: Origin,
-    /// When it was written, by the writer's clock; only the decision to write the next one uses it.
+    /// When it was written, by the writer's clock. It is used only to decide when the next snapshot is due.
     pub written: Time,
-    /// The state and the offset that it includes.
+    /// The state and the offset of the last record that it includes.
     pub image: Image,
 }
 
 /// Record of the stream `config`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Record {
-    /// New values.
+    /// Change of one or more values.
     Change(Change),
-    /// Whole state.
+    /// Copy of the whole state.
     Snapshot(Snapshot),
 }
 
--- a/crates/ledger/src/schedule/mod.rs
+++ b/crates/ledger/src/schedule/mod.rs
@@ -1,4 +1,4 @@
-//! When to write a snapshot.
+//! Schedule of snapshots.
 
 mod schedule;
 
--- a/crates/ledger/src/schedule/schedule.rs
+++ b/crates/ledger/src/schedule/schedule.rs
@@ -1,4 +1,4 @@
-//! The decision to write a snapshot.
+//! Decides when a process writes a snapshot.
 
 use crate::{
     State,
@@ -9,42 +9,42 @@
     prelude::*, //
 };
 
-/// Longest time for which a process lets the others write the snapshot. It spreads eight processes so that
-/// the first one's record is read by the others before they write their own.
+/// Upper limit of the random delay before a snapshot is written. It is long enough that, of eight processes, the others
+/// read the first one's snapshot before they write their own.
 const JITTER_LIMIT: Duration = Duration::from_secs(600);
 
-/// What the log keeps at least.
+/// Records that the log is guaranteed to keep.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Retention {
-    /// Newest records.
+    /// Number of newest records.
     pub records: u64,
-    /// Records younger than this.
+    /// Age up to which records are kept.
     pub age: Duration,
 }
 
 /// Decides when this process writes a snapshot.
 ///
-/// A snapshot is due when the last one is older than a quarter of the retention, by number or by time. Each
-/// process adds a jitter of at most a sixteenth of the retention, so the last snapshot is always replaced before
-/// a third of the retention has passed.
+/// A snapshot is due when the last one is older than a quarter of the retention, by number of records or by time. Each
+/// process adds a random delay of at most a sixteenth of the retention, so that not all processes write a snapshot at
+/// once. The last snapshot is therefore replaced before a third of the retention has passed.
 #[derive(Clone, Copy, Debug)]
 pub struct Schedule {
-    records: u64,
-    age: Duration,
+    max_records: u64,
+    max_age: Duration,
     jitter: Duration,
     start: Time,
 }
 
 impl Schedule {
-    /// Makes the schedule of a process that started at `start`; `seed` should differ between processes.
+    /// Creates the schedule of a process that started at `start`; `seed` should differ between processes.
     pub fn new(retention: Retention, seed: u64, start: Time) -> Self {
         let jitter = (retention.age / 16).min(JITTER_LIMIT);
         let span = u64::try_from(jitter.as_micros()).unwrap_or(u64::MAX);
         let jitter = Duration::from_micros(mix(seed) % span.saturating_add(1));
-        let spread = (retention.records / 16).saturating_add(1);
+        let record_jitter = (retention.records / 16).saturating_add(1);
         Self {
-            records: retention.records / 4 + mix(seed ^ u64::MAX) % spread,
-            age: retention.age / 4 + jitter,
+            max_records: retention.records / 4 + mix(seed ^ u64::MAX) % record_jitter,
+            max_age: retention.age / 4 + jitter,
             jitter,
             start,
         }
@@ -55,12 +55,12 @@
         if state.status() != Status::Complete || state.through() == 0 {
             return false;
         }
-        match state.snapshot_seen() {
+        match state.newest_snapshot() {
             Some((offset, written)) => {
                 let records = state.through().saturating_sub(offset);
-                records > self.records || now.since(written) > self.age
+                records > self.max_records || now.since(written) > self.max_age
             }
-            None => state.through() > self.records || now.since(self.start) > self.jitter,
+            None => state.through() > self.max_records || now.since(self.start) > self.jitter,
         }
     }
 }
--- a/crates/ledger/src/state/check.rs
+++ b/crates/ledger/src/state/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a change on its own and against the other values.
+//! Checks of a change by itself and against the other values.
 
 use super::{
     Error,
@@ -29,7 +29,7 @@
 /// Most hosts, five times the target size.
 pub const HOST_LIMIT: usize = 7_000;
 
-/// Checks what needs no other value.
+/// Checks the entries of a change by themselves, without the other values.
 pub(super) fn check_entries(entries: &[Entry]) -> Result<(), Error> {
     if entries.is_empty() || entries.len() > ENTRY_LIMIT {
         return Err(Error::Entries {
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// Checks that the value is of the subject's kind.
+/// Checks that the type of the value matches the kind of the subject.
 pub(super) fn check_kind(subject: &Subject, value: &Value) -> Result<(), Error> {
     match (subject, value) {
         (_, Value::Removed)
@@ -59,13 +59,13 @@
     }
 }
 
-/// Checks the values of `subjects`, which are already in the table, against all others.
+/// Checks the values of `subjects`, which are already in the table, against all other values.
 pub(super) fn check_table(table: &Table, subjects: &[Subject]) -> Result<(), Error> {
     let mut pools = BTreeSet::new();
-    let mut moved = false;
+    let mut hosts_changed = false;
     for subject in subjects {
-        moved |= matches!(subject, Subject::Host(_));
-        match (subject, table.get(subject).map(|held| &held.value)) {
+        hosts_changed |= matches!(subject, Subject::Host(_));
+        match (subject, table.get(subject).map(|revision| &revision.value)) {
             (_, Some(Value::Contract(contract))) => {
                 check_pools(table, subject, contract)?;
                 check_credential(table, subject, contract)?;
@@ -81,7 +81,7 @@
             _ => {}
         }
     }
-    if moved {
+    if hosts_changed {
         check_reservations(table)?;
     }
     check_shares(table, &pools)?;
@@ -94,8 +94,8 @@
 }
 
 fn check_pool(table: &Table, subject: &Subject, pool: &Name) -> Result<(), Error> {
-    let held = table.get(&Subject::Pool(pool.clone()));
-    if held.is_some_and(|held| held.value != Value::Removed) {
+    let revision = table.get(&Subject::Pool(pool.clone()));
+    if revision.is_some_and(|revision| revision.value != Value::Removed) {
         return Ok(());
     }
     Err(Error::PoolUnknown {
@@ -107,9 +107,9 @@
 /// Checks that every host that is reserved in `pool` is assigned to it.
 fn check_reservation(table: &Table, pool: &Name, reservation: &Reservation) -> Result<(), Error> {
     let assigned = |host: &&Name| {
-        let held = table.get(&Subject::Host((*host).clone()));
-        held.is_some_and(
-            |held| matches!(&held.value, Value::Assignment(theirs) if theirs.pool == *pool),
+        let revision = table.get(&Subject::Host((*host).clone()));
+        revision.is_some_and(
+            |it| matches!(&it.value, Value::Assignment(assignment) if assignment.pool == *pool),
         )
     };
     match reservation.hosts.keys().find(|host| !assigned(host)) {
@@ -124,10 +124,11 @@
 fn check_reservations(table: &Table) -> Result<(), Error> {
     // Reservations come last in the order of subjects.
     let values = table.iter().rev();
-    let mut reservations = values.map_while(|(subject, held)| match (subject, &held.value) {
-        (Subject::Reservation(pool), value) => Some((pool, value)),
-        _ => None,
-    });
+    let mut reservations =
+        values.map_while(|(subject, revision)| match (subject, &revision.value) {
+            (Subject::Reservation(pool), value) => Some((pool, value)),
+            _ => None,
+        });
     reservations.try_for_each(|(pool, value)| match value {
         Value::Reservation(reservation) => check_reservation(table, pool, reservation),
         _ => Ok(()),
@@ -135,8 +136,8 @@
 }
 
 fn check_credential(table: &Table, subject: &Subject, contract: &Contract) -> Result<(), Error> {
-    let same = |(other, theirs): &(&Subject, &Contract)| {
-        *other != subject && theirs.digest == contract.digest
+    let same = |(other, other_contract): &(&Subject, &Contract)| {
+        *other != subject && other_contract.digest == contract.digest
     };
     match contracts(table).find(same) {
         Some((other, _)) => Err(Error::Credential {
@@ -148,12 +149,12 @@
 }
 
 fn check_unused(table: &Table, pool: &Name) -> Result<(), Error> {
-    let uses = |held: &Revision| match &held.value {
+    let uses = |revision: &Revision| match &revision.value {
         Value::Contract(contract) => contract.share(pool).is_some(),
         Value::Assignment(assignment) => assignment.pool == *pool,
         _ => false,
     };
-    match table.iter().find(|(_, held)| uses(held)) {
+    match table.iter().find(|(_, revision)| uses(revision)) {
         Some((user, _)) => Err(Error::PoolUsed {
             pool: pool.clone(),
             user: user.clone(),
@@ -182,8 +183,8 @@
 
 fn check_size(table: &Table) -> Result<(), Error> {
     let (mut customers, mut pools, mut hosts, mut reservations) = (0, 0, 0, 0);
-    for (_, held) in table.iter() {
-        match held.value {
+    for (_, revision) in table.iter() {
+        match revision.value {
             Value::Contract(_) => customers += 1,
             Value::Pool(_) => pools += 1,
             Value::Assignment(_) => hosts += 1,
@@ -208,7 +209,7 @@
     let customers = table
         .iter()
         .take_while(|(subject, _)| matches!(subject, Subject::Customer(_)));
-    customers.filter_map(|(subject, held)| match &held.value {
+    customers.filter_map(|(subject, revision)| match &revision.value {
         Value::Contract(contract) => Some((subject, contract.as_ref())),
         _ => None,
     })
--- a/crates/ledger/src/state/error.rs
+++ b/crates/ledger/src/state/error.rs
@@ -1,16 +1,16 @@
-//! Why a record is invalid.
+//! Reasons for which a record is invalid.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::model::Subject;
 
-/// A record fails its check.
+/// Reason for which a record is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The record does not parse, or a value in it is out of its range.
+    /// The record does not parse, or a value in it is out of range.
     #[error("the record can't be read: {0}")]
     Unreadable(String),
-    /// The number of entries is out of its range.
+    /// The number of entries is out of range.
     #[error("field entries: {count} entries: give 1 to {limit} entries in one change")]
     Entries {
         /// Entries in the change.
@@ -21,7 +21,7 @@
     /// A subject occurs twice.
     #[error("field entries: subject {0} occurs twice: give each subject one value")]
     Duplicate(Subject),
-    /// The value is of another kind than the subject.
+    /// The type of the value does not match the kind of the subject.
     #[error(
         "subject {0} holds a value of another kind: give it a value of its own kind or remove it"
     )]
@@ -36,7 +36,7 @@
         /// The missing pool.
         pool: Name,
     },
-    /// A pool that is still named by another value was removed.
+    /// A removed pool is still named by another value.
     #[error(
         "pool {pool} is still used by {user}: change or remove {user} in the same or an earlier change"
     )]
@@ -46,7 +46,7 @@
         /// One of its users.
         user: Subject,
     },
-    /// The contracts promise more of a pool than it has.
+    /// The shares of a pool in all contracts add up to more than 100%.
     #[error(
         "pool {pool}: the shares of all customers add up to {total}%: lower them to 100% at most"
     )]
@@ -76,10 +76,10 @@
         /// Pool with the reservation.
         pool: Name,
     },
-    /// The table of one kind is full.
+    /// There are too many values of one kind.
     #[error("{kind}: {count} values: the limit is {limit}; remove unused ones")]
     Full {
-        /// Plural of the kind.
+        /// Plural name of the kind.
         kind: &'static str,
         /// Values after the change.
         count: usize,
--- a/crates/ledger/src/state/mod.rs
+++ b/crates/ledger/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The fold and its results.
+//! State of the configuration and the results of applying records.
 
 mod check;
 mod error;
--- a/crates/ledger/src/state/state.rs
+++ b/crates/ledger/src/state/state.rs
@@ -1,4 +1,4 @@
-//! The fold of the stream `config`.
+//! State of the configuration after applying the records of the stream `config`.
 
 use super::{
     Error,
@@ -35,30 +35,31 @@
 pub enum Status {
     /// Every record up to `through`, and the next one follows.
     Complete,
-    /// Every record up to `through`, but the next one expired unread. What was in force stays in force.
+    /// Every record up to `through`, but the log deleted the next one before it was read. The known configuration
+    /// stays in force.
     Behind,
-    /// Nothing: the stream began after offset 1 and no snapshot was found. Requests are refused.
+    /// Nothing: the stream starts after offset 1 and no snapshot was found yet. Requests are refused.
     Incomplete,
 }
 
-/// Configuration in force and everything needed to judge the next record.
+/// Configuration in force and everything needed to apply the next record.
 ///
-/// The owner reads records from [`next`](Self::next) on and passes each one to [`apply`](Self::apply). When the
-/// log says that `next` expired, the owner calls [`expire`](Self::expire) and goes on reading. Adopting a snapshot
-/// sets `next` back, so the owner then reads some records a second time.
+/// The owner reads records from the offset [`next`](Self::next) on and passes each one to [`apply`](Self::apply). When
+/// the log reports that it has deleted the record at `next`, the owner calls [`expire`](Self::expire) and continues to
+/// read. Adopting a snapshot sets `next` back, so the owner then reads some records a second time.
 pub struct State {
     table: Table,
     writers: Writers,
     version: u64,
     through: u64,
     next: u64,
-    /// Offset from which a state that missed records has read without a gap.
-    searching: Option<u64>,
-    snapshot: Option<(u64, Time)>,
+    /// First offset read after a gap, while a snapshot that covers the gap is being searched; `None` without a gap.
+    search_start: Option<u64>,
+    newest_snapshot: Option<(u64, Time)>,
 }
 
 impl State {
-    /// Makes the state of a process that has read nothing, for a stream whose first retained offset is `first`.
+    /// Creates the state of a process that has read nothing, for a stream whose first retained offset is `first`.
     pub fn new(first: u64) -> Self {
         let mut state = Self {
             table: Table::default(),
@@ -66,8 +67,8 @@
             version: 0,
             through: 0,
             next: 1,
-            searching: None,
-            snapshot: None,
+            search_start: None,
+            newest_snapshot: None,
         };
         state.expire(first);
         state
@@ -75,7 +76,7 @@
 
     /// Returns how much of the stream the state includes.
     pub fn status(&self) -> Status {
-        match (self.searching, self.through) {
+        match (self.search_start, self.through) {
             (None, _) => Status::Complete,
             (Some(_), 0) => Status::Incomplete,
             (Some(_), _) => Status::Behind,
@@ -87,7 +88,7 @@
         self.next
     }
 
-    /// Returns the offset of the last record that the configuration in force includes.
+    /// Returns the offset of the last record that the state includes.
     pub fn through(&self) -> u64 {
         self.through
     }
@@ -97,17 +98,20 @@
         Version(self.version)
     }
 
-    /// Returns offset and time of the newest snapshot record that was read.
-    pub fn snapshot_seen(&self) -> Option<(u64, Time)> {
-        self.snapshot
+    /// Returns the offset of the newest snapshot record that was read, and when it was written.
+    pub fn newest_snapshot(&self) -> Option<(u64, Time)> {
+        self.newest_snapshot
     }
 
-    /// Returns the basis that a change of `subject` needs now, 0 if the subject never had a value.
+    /// Returns the basis that a change of `subject` needs to be accepted now.
+    ///
+    /// This is the offset of the subject's value or tombstone. For a subject without either it is the highest offset of
+    /// a discarded tombstone, or 0.
     pub fn basis(&self, subject: &Subject) -> u64 {
         self.table.basis(subject)
     }
 
-    /// Returns the value of `subject` with its offset, or the tombstone if it was removed.
+    /// Returns the value of `subject` with its offset and writer, or the tombstone if it was removed.
     pub fn get(&self, subject: &Subject) -> Option<&Revision> {
         self.table.get(subject)
     }
@@ -116,16 +120,16 @@
     pub fn values(&self) -> impl Iterator<Item = (&Subject, &Value)> + Clone {
         self.table
             .iter()
-            .map(|(subject, held)| (subject, &held.value))
+            .map(|(subject, revision)| (subject, &revision.value))
     }
 
     /// Returns the contracts in force with their offsets, ordered by name.
     pub fn customers(&self) -> impl Iterator<Item = (&Name, u64, &Arc<Contract>)> {
         self.table
             .iter()
-            .filter_map(|(subject, held)| match (subject, &held.value) {
+            .filter_map(|(subject, revision)| match (subject, &revision.value) {
                 (Subject::Customer(name), Value::Contract(contract)) => {
-                    Some((name, held.offset, contract))
+                    Some((name, revision.offset, contract))
                 }
                 _ => None,
             })
@@ -135,8 +139,8 @@
     pub fn pools(&self) -> impl Iterator<Item = (&Name, u64, &Arc<Pool>)> {
         self.table
             .iter()
-            .filter_map(|(subject, held)| match (subject, &held.value) {
-                (Subject::Pool(name), Value::Pool(pool)) => Some((name, held.offset, pool)),
+            .filter_map(|(subject, revision)| match (subject, &revision.value) {
+                (Subject::Pool(name), Value::Pool(pool)) => Some((name, revision.offset, pool)),
                 _ => None,
             })
     }
@@ -145,25 +149,25 @@
     pub fn hosts(&self) -> impl Iterator<Item = (&Name, u64, &Assignment)> {
         self.table
             .iter()
-            .filter_map(|(subject, held)| match (subject, &held.value) {
+            .filter_map(|(subject, revision)| match (subject, &revision.value) {
                 (Subject::Host(name), Value::Assignment(assignment)) => {
-                    Some((name, held.offset, assignment))
+                    Some((name, revision.offset, assignment))
                 }
                 _ => None,
             })
     }
 
-    /// Notes that records before `first` can no longer be read.
+    /// Tells the state that the log has deleted the records before `first`.
     ///
-    /// If one of them was not folded yet, the state stays as it is until a snapshot or a peer fills the gap.
+    /// If one of them was not applied yet, the state stays as it is until a snapshot or a peer's state covers the gap.
     pub fn expire(&mut self, first: u64) {
         if first > self.next {
-            self.searching = Some(first);
+            self.search_start = Some(first);
             self.next = first;
         }
     }
 
-    /// Folds the record at `offset`; a record that could not be decoded is given as its error.
+    /// Applies the record at `offset`; for a record that could not be decoded, `record` is the decoding error.
     pub fn apply(&mut self, offset: u64, record: Result<Record, Error>) -> Verdict {
         if offset < self.next {
             return Verdict::Old;
@@ -173,21 +177,21 @@
         }
         self.next = offset.saturating_add(1);
         if let Ok(Record::Snapshot(snapshot)) = &record {
-            self.snapshot = Some((offset, snapshot.written));
+            self.newest_snapshot = Some((offset, snapshot.written));
         }
-        match self.searching {
-            Some(start) => self.search(start, offset, record),
-            None => self.fold(offset, record),
+        match self.search_start {
+            Some(start) => self.search_snapshot(start, offset, record),
+            None => self.apply_next(offset, record),
         }
     }
 
-    /// Replaces the state by that of a peer if the peer's includes a later record.
+    /// Replaces the state by that of a peer if the peer's state includes later records.
     ///
     /// Returns whether it was replaced; the owner then continues at [`next`](Self::next).
     ///
     /// # Errors
     ///
-    /// Fails without any effect if the peer's state fails its check.
+    /// Fails without any effect if the peer's state is inconsistent.
     pub fn import(&mut self, image: Image) -> Result<bool, Error> {
         if image.through <= self.through {
             return Ok(false);
@@ -206,13 +210,13 @@
             through: self.through,
             floor: self.table.floor(),
             values: values
-                .map(|(subject, held)| (subject.clone(), held.clone()))
+                .map(|(subject, revision)| (subject.clone(), revision.clone()))
                 .collect(),
-            writers: self.writers.save(),
+            writers: self.writers.to_states(),
         })
     }
 
-    /// Makes a snapshot record, or `None` unless the state is complete.
+    /// Creates a snapshot record, or returns `None` unless the state is complete.
     pub fn snapshot(&self, origin: Origin, now: Time) -> Option<Snapshot> {
         if self.status() != Status::Complete {
             return None;
@@ -224,22 +228,22 @@
         })
     }
 
-    fn fold(&mut self, offset: u64, record: Result<Record, Error>) -> Verdict {
+    fn apply_next(&mut self, offset: u64, record: Result<Record, Error>) -> Verdict {
         self.through = offset;
         let record = match record {
             Ok(record) => record,
             Err(error) => return Verdict::Invalid(error),
         };
-        if !self.writers.note(record.origin(), offset) {
+        if !self.writers.record(record.origin(), offset) {
             return Verdict::Repeat;
         }
         match record {
-            Record::Change(change) => self.fold_change(offset, change),
+            Record::Change(change) => self.apply_change(offset, change),
             Record::Snapshot(_) => Verdict::Snapshot { adopted: false },
         }
     }
 
-    fn fold_change(&mut self, offset: u64, change: Change) -> Verdict {
+    fn apply_change(&mut self, offset: u64, change: Change) -> Verdict {
         if let Err(error) = check::check_entries(&change.entries) {
             return Verdict::Invalid(error);
         }
@@ -248,18 +252,18 @@
         }
         let writer = change.origin.writer;
         let mut subjects = Vec::with_capacity(change.entries.len());
-        let mut before = Vec::with_capacity(change.entries.len());
+        let mut previous = Vec::with_capacity(change.entries.len());
         for entry in change.entries {
-            let held = Revision {
+            let revision = Revision {
                 offset,
                 writer: writer.clone(),
                 value: entry.value,
             };
             subjects.push(entry.subject.clone());
-            before.push(self.table.put(entry.subject, held));
+            previous.push(self.table.insert(entry.subject, revision));
         }
         if let Err(error) = check::check_table(&self.table, &subjects) {
-            self.undo(subjects, before);
+            self.undo(subjects, previous);
             return Verdict::Invalid(error);
         }
         self.table.compact();
@@ -268,28 +272,33 @@
     }
 
     fn find_stale(&self, entries: &[Entry]) -> Option<Verdict> {
-        let moved = entries
+        let stale = entries
             .iter()
             .find(|entry| entry.basis != self.table.basis(&entry.subject))?;
-        let held = self.table.get(&moved.subject);
+        let revision = self.table.get(&stale.subject);
         Some(Verdict::Stale {
-            subject: moved.subject.clone(),
-            basis: moved.basis,
-            current: self.table.basis(&moved.subject),
-            writer: held.map(|held| held.writer.clone()),
+            subject: stale.subject.clone(),
+            basis: stale.basis,
+            current: self.table.basis(&stale.subject),
+            writer: revision.map(|revision| revision.writer.clone()),
         })
     }
 
-    fn undo(&mut self, subjects: Vec<Subject>, before: Vec<Option<Revision>>) {
-        for (subject, held) in subjects.into_iter().zip(before) {
-            match held {
-                Some(held) => drop(self.table.put(subject, held)),
-                None => drop(self.table.take(&subject)),
+    fn undo(&mut self, subjects: Vec<Subject>, previous: Vec<Option<Revision>>) {
+        for (subject, revision) in subjects.into_iter().zip(previous) {
+            match revision {
+                Some(revision) => drop(self.table.insert(subject, revision)),
+                None => drop(self.table.remove(&subject)),
             }
         }
     }
 
-    fn search(&mut self, start: u64, offset: u64, record: Result<Record, Error>) -> Verdict {
+    fn search_snapshot(
+        &mut self,
+        start: u64,
+        offset: u64,
+        record: Result<Record, Error>,
+    ) -> Verdict {
         let snapshot = match record {
             Ok(Record::Snapshot(snapshot)) => snapshot,
             Ok(Record::Change(_)) => return Verdict::Pending,
@@ -303,7 +312,7 @@
                 through: offset,
             });
         }
-        // Records between the snapshot's state and the first one read have expired.
+        // If the snapshot ends before `start - 1`, the records in between have been deleted from the log.
         if through <= self.through || through.saturating_add(1) < start {
             return Verdict::Snapshot { adopted: false };
         }
@@ -318,12 +327,12 @@
         let mut table = Table::new(image.floor);
         let mut subjects = Vec::with_capacity(image.values.len());
         let mut version = image.floor;
-        for (subject, held) in image.values {
-            check_offset("offset", held.offset, through)?;
-            check::check_kind(&subject, &held.value)?;
-            version = version.max(held.offset);
+        for (subject, revision) in image.values {
+            check_offset("offset", revision.offset, through)?;
+            check::check_kind(&subject, &revision.value)?;
+            version = version.max(revision.offset);
             subjects.push(subject.clone());
-            if table.put(subject.clone(), held).is_some() {
+            if table.insert(subject.clone(), revision).is_some() {
                 return Err(Error::Duplicate(subject));
             }
         }
@@ -333,11 +342,11 @@
         }
         check::check_table(&table, &subjects)?;
         self.table = table;
-        self.writers = Writers::load(image.writers);
+        self.writers = Writers::from_states(image.writers);
         self.version = self.version.max(version);
         self.through = through;
         self.next = through.saturating_add(1);
-        self.searching = None;
+        self.search_start = None;
         Ok(())
     }
 }
--- a/crates/ledger/src/state/table.rs
+++ b/crates/ledger/src/state/table.rs
@@ -1,4 +1,4 @@
-//! Values in force and tombstones, in an arena with an index by subject.
+//! Current values and tombstones, in an arena with an index by subject.
 
 use crate::record::Revision;
 use sassafrascrank_contract::model::{
@@ -16,29 +16,29 @@
     pub struct Key;
 }
 
-/// Most tombstones kept. At 1,300 changes a day, all of them removals, they last for three days.
+/// Most tombstones kept. At 1,300 changes a day, all of them removals, a tombstone is kept for three days at most.
 pub const TOMBSTONE_LIMIT: usize = 4_096;
 
-/// Tombstones kept when the limit is exceeded. Dropping half at once moves the floor rarely, and each move
-/// makes the basis of changes in flight that create a subject stale.
-const TOMBSTONE_KEEP: usize = TOMBSTONE_LIMIT / 2;
+/// Tombstones kept when the limit is exceeded. Discarding half of them at once keeps the floor stable for longer; each
+/// time it rises, changes in flight that create a subject become stale.
+const TOMBSTONES_AFTER_COMPACTION: usize = TOMBSTONE_LIMIT / 2;
 
 struct Slot {
     subject: Subject,
-    held: Revision,
+    revision: Revision,
 }
 
-/// Values and tombstones by subject.
+/// Current values and tombstones by subject.
 #[derive(Default)]
 pub(super) struct Table {
     arena: SlotMap<Key, Slot>,
     index: BTreeMap<Subject, Key>,
-    removed: BTreeSet<(u64, Key)>,
+    tombstones: BTreeSet<(u64, Key)>,
     floor: u64,
 }
 
 impl Table {
-    /// Makes an empty table whose absent subjects have the basis `floor`.
+    /// Creates an empty table whose absent subjects have the basis `floor`.
     pub(super) fn new(floor: u64) -> Self {
         Self {
             floor,
@@ -52,60 +52,62 @@
 
     pub(super) fn get(&self, subject: &Subject) -> Option<&Revision> {
         let key = self.index.get(subject)?;
-        self.arena.get(*key).map(|slot| &slot.held)
+        self.arena.get(*key).map(|slot| &slot.revision)
     }
 
-    /// Returns the offset in force; the floor stands for every forgotten tombstone.
+    /// Returns the offset of the subject's value or tombstone, or the floor if there is none.
     pub(super) fn basis(&self, subject: &Subject) -> u64 {
-        self.get(subject).map_or(self.floor, |held| held.offset)
+        self.get(subject)
+            .map_or(self.floor, |revision| revision.offset)
     }
 
     /// Returns values and tombstones ordered by subject.
     pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = (&Subject, &Revision)> + Clone {
         let slots = self.index.values().filter_map(|key| self.arena.get(*key));
-        slots.map(|slot| (&slot.subject, &slot.held))
+        slots.map(|slot| (&slot.subject, &slot.revision))
     }
 
-    /// Sets a value and returns the one before it.
-    pub(super) fn put(&mut self, subject: Subject, held: Revision) -> Option<Revision> {
-        let before = self.take(&subject);
-        let tombstone = held.value == Value::Removed;
-        let offset = held.offset;
+    /// Sets the value of a subject and returns the previous one.
+    pub(super) fn insert(&mut self, subject: Subject, revision: Revision) -> Option<Revision> {
+        let previous = self.remove(&subject);
+        let tombstone = revision.value == Value::Removed;
+        let offset = revision.offset;
         let key = self.arena.insert(Slot {
             subject: subject.clone(),
-            held,
+            revision,
         });
         self.index.insert(subject, key);
         if tombstone {
-            self.removed.insert((offset, key));
+            self.tombstones.insert((offset, key));
         }
-        before
+        previous
     }
 
-    /// Removes a value without a trace, to undo a change.
-    pub(super) fn take(&mut self, subject: &Subject) -> Option<Revision> {
+    /// Removes a value without leaving a tombstone.
+    pub(super) fn remove(&mut self, subject: &Subject) -> Option<Revision> {
         let key = self.index.remove(subject)?;
-        let held = self.arena.remove(key)?.held;
-        self.removed.remove(&(held.offset, key));
-        Some(held)
+        let revision = self.arena.remove(key)?.revision;
+        self.tombstones.remove(&(revision.offset, key));
+        Some(revision)
     }
 
-    /// Drops the oldest tombstones if there are too many and raises the floor to the newest dropped one.
+    /// Discards the oldest tombstones if there are too many, and raises the floor to the newest discarded one.
     ///
-    /// Tombstones of one offset go together, so the result does not depend on keys.
+    /// All tombstones of one offset are discarded together, so that the result does not depend on arena keys and is the
+    /// same in every process.
     pub(super) fn compact(&mut self) {
-        if self.removed.len() <= TOMBSTONE_LIMIT {
+        if self.tombstones.len() <= TOMBSTONE_LIMIT {
             return;
         }
-        let surplus = self.removed.len() - TOMBSTONE_KEEP;
-        let Some(&(offset, _)) = self.removed.iter().nth(surplus - 1) else {
+        let surplus = self.tombstones.len() - TOMBSTONES_AFTER_COMPACTION;
+        let Some(&(offset, _)) = self.tombstones.iter().nth(surplus - 1) else {
             return;
         };
-        while let Some(&(oldest, key)) = self.removed.first() {
+        while let Some(&(oldest, key)) = self.tombstones.first() {
             if oldest > offset {
                 break;
             }
-            self.removed.pop_first();
+            self.tombstones.pop_first();
             if let Some(slot) = self.arena.remove(key) {
                 self.index.remove(&slot.subject);
             }
--- a/crates/ledger/tests/fold.rs
+++ b/crates/ledger/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Judgement of single records.
+//! Results of applying single records.
 
 mod common;
 
@@ -43,7 +43,8 @@
     state
 }
 
-/// Guards against a change that contradicts another value or itself, and against a message without a remedy.
+/// Guards against accepting a change that contradicts another value or itself, and against an error message without a
+/// remedy.
 #[test]
 fn a_contradicting_change_is_invalid_and_changes_nothing() {
     let many: Vec<_> = (0..=ENTRY_LIMIT).map(|n| format!("host/n{n}")).collect();
@@ -107,7 +108,8 @@
     insta::assert_snapshot!(messages);
 }
 
-/// Guards against a check that is stricter than it says: exactly 100%, and a pool removed with its last users.
+/// Guards against checks that reject valid changes: shares of exactly 100%, and a pool that is removed together with
+/// its last users.
 #[test]
 fn a_change_at_the_limit_is_accepted() {
     let mut state = base();
@@ -123,7 +125,7 @@
     insta::assert_debug_snapshot!((full, gone, state.version()));
 }
 
-/// Guards against a bad record that stops the fold or takes the configuration in force with it.
+/// Guards against an unreadable record that blocks later records or affects the configuration in force.
 #[test]
 fn a_record_that_cannot_be_read_is_skipped() {
     let mut state = base();
@@ -137,8 +139,8 @@
     assert_eq!((state.through(), state.version().0), (3, 3));
 }
 
-/// Guards against an append that was repeated after a lost answer and takes effect twice or is reported as stale,
-/// and against a late copy of an older record.
+/// Guards against a record that was appended again after a lost answer and takes effect twice or is reported as stale,
+/// and against a late copy of an older record that takes effect.
 #[test]
 fn a_repeat_is_ignored() {
     let mut state = base();
@@ -152,8 +154,8 @@
     insta::assert_debug_snapshot!((verdicts, state.get(&subject("pool/a"))));
 }
 
-/// Guards against a basis from before a removal that brings the removed value back, also after the tombstone is
-/// forgotten, and against tombstones without bound.
+/// Guards against a change based on a state from before a removal that restores the removed subject, also after its
+/// tombstone was discarded, and against an unbounded number of tombstones.
 #[test]
 fn a_removed_subject_stays_removed() {
     let mut state = base();
@@ -190,7 +192,8 @@
     insta::assert_debug_snapshot!((bases, image.floor, image.values.len()));
 }
 
-/// Guards against writers without bound, and against a forgotten writer's repeat that takes effect twice.
+/// Guards against an unbounded number of writers, and against a repeated record of a discarded writer that takes effect
+/// twice.
 #[test]
 fn a_forgotten_writer_cannot_repeat_a_change() {
     let mut state = base();
@@ -204,11 +207,13 @@
     let verdict = apply(&mut state, record);
     insta::assert_debug_snapshot!((
         verdict,
-        state.get(&subject("pool/a")).map(|held| held.offset)
+        state
+            .get(&subject("pool/a"))
+            .map(|revision| revision.offset)
     ));
 }
 
-/// Guards against an entry that reads on although the log skipped a record without saying that it expired.
+/// Guards against applying a record after a gap that the log did not report, or a record that was applied before.
 #[test]
 fn a_gap_or_an_old_offset_changes_nothing() {
     let mut state = base();
@@ -218,8 +223,8 @@
     assert_eq!((state.through(), state.version().0), (1, 1));
 }
 
-/// Guards against a race that both operators win or both lose, over seeded interleavings of two operators who
-/// change overlapping subjects on the basis of what they last read.
+/// Guards against a race that both operators win or both lose. Two operators change overlapping subjects based on what
+/// they last read, in seeded interleavings.
 #[test]
 fn of_two_racing_operators_exactly_one_wins() {
     for seed in 0..500 {
@@ -242,7 +247,7 @@
             if random.below(2) == 0 {
                 records.swap(0, 1);
             }
-            // A lost answer makes either of them append a second copy.
+            // After a lost answer, an operator appends a second copy.
             if random.below(3) == 0 {
                 let copy = records[random.below(2) as usize].clone();
                 records.push(copy);
@@ -251,7 +256,7 @@
                 .into_iter()
                 .map(|it| apply(&mut state, it))
                 .collect();
-            // Bob's change also names pool b, whose offset moves with his first success.
+            // Bob's change also names pool b, whose offset changes when his first change is accepted.
             let accepted = verdicts
                 .iter()
                 .filter(|it| matches!(it, Verdict::Accepted { .. }));
@@ -267,8 +272,8 @@
     }
 }
 
-/// Guards against conflicts between teams that change nothing in common: 100 teams make 1,300 changes in a day,
-/// each on the basis of a state that is up to 50 records old.
+/// Guards against conflicts between teams that change different subjects. 100 teams make 1,300 changes in a day, each
+/// based on a state that is up to 50 records old.
 #[test]
 fn changes_of_different_teams_never_conflict() {
     for seed in 0..5 {
@@ -307,7 +312,8 @@
     }
 }
 
-/// Guards against a log that expires before a snapshot is written, and against eight processes that all write one.
+/// Guards against records that are deleted before a snapshot is written, and against each of eight processes writing a
+/// snapshot.
 #[test]
 fn snapshots_are_written_in_time_and_by_few() {
     let retention = Retention {
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values, records and a seeded random source for the tests of the fold.
+//! Values, records and a seeded random number generator for the tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -33,7 +33,7 @@
     sync::Arc, //
 };
 
-/// SplitMix64.
+/// Random number generator SplitMix64.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -72,7 +72,7 @@
     }))
 }
 
-/// A contract whose credential digest is made of `digest`.
+/// Returns a contract whose credential digest consists of the byte `digest`.
 pub(crate) fn contract(digest: u8, shares: &[(&str, u32)]) -> Value {
     let shares = shares.iter();
     Value::Contract(Arc::new(Contract {
@@ -112,13 +112,13 @@
     })
 }
 
-/// Folds `record` at the next offset.
+/// Applies `record` at the next offset.
 pub(crate) fn apply(state: &mut State, record: Record) -> Verdict {
     state.apply(state.next(), Ok(record))
 }
 
-/// Folds a whole log from its first offset on, going back after a snapshot was adopted.
-pub(crate) fn fold(state: &mut State, log: &[Record], first: u64) {
+/// Applies a whole log from the offset `first` on, and reads records again after a snapshot was adopted.
+pub(crate) fn apply_log(state: &mut State, log: &[Record], first: u64) {
     state.expire(first);
     while let Some(record) = log.get(usize::try_from(state.next() - 1).unwrap()) {
         let next = state.next();
@@ -126,7 +126,7 @@
     }
 }
 
-/// Digest of everything that a state exports.
+/// Returns a digest of everything that a state exports.
 pub(crate) fn digest(state: &State) -> u64 {
     digest_of(&state.export())
 }
@@ -137,7 +137,7 @@
     hasher.finish()
 }
 
-/// Makes a log of random changes, repeats, stale and invalid ones, with a snapshot now and then.
+/// Returns a log of random changes, among them repeated, stale and invalid ones, and occasional snapshots.
 pub(crate) fn random_log(seed: u64, length: usize) -> Vec<Record> {
     let mut random = Random(seed);
     let mut state = State::new(1);
--- a/crates/ledger/tests/handover.rs
+++ b/crates/ledger/tests/handover.rs
@@ -1,15 +1,15 @@
-//! Snapshots, expired records and states of peers.
+//! Snapshots, deleted records and states taken over from peers.
 
 mod common;
 
 use common::{
     Random,
     apply,
+    apply_log,
     assignment,
     change,
     contract,
     digest,
-    fold,
     origin,
     pool,
     random_log, //
@@ -24,17 +24,17 @@
     Verdict, //
 };
 
-/// Guards against a new process whose state differs from that of a process that read the whole stream.
+/// Guards against a process that starts from a snapshot and reaches another state than one that reads the whole stream.
 #[test]
 fn a_snapshot_and_the_tail_equal_the_fold_from_the_start() {
     let mut adopted = 0;
     for seed in 0..200 {
         let log = random_log(seed, 200);
         let mut whole = State::new(1);
-        fold(&mut whole, &log, 1);
+        apply_log(&mut whole, &log, 1);
         let first = 2 + Random(seed).below(150);
         let mut fresh = State::new(first);
-        fold(&mut fresh, &log, first);
+        apply_log(&mut fresh, &log, first);
         if fresh.status() == Status::Complete {
             adopted += 1;
             assert_eq!(digest(&fresh), digest(&whole), "seed {seed}, first {first}");
@@ -49,7 +49,7 @@
     assert!(adopted > 150, "{adopted} of 200 logs had a usable snapshot");
 }
 
-/// Guards against readers that judge the same record differently.
+/// Guards against readers that reach different results for the same record.
 #[test]
 fn readers_of_one_log_reach_the_same_verdicts() {
     let mut lines = Vec::new();
@@ -72,7 +72,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a process that serves an old or partial configuration when the log has expired and holds no
+/// Guards against a process that serves a partial configuration when the log has deleted old records and contains no
 /// snapshot.
 #[test]
 fn an_expired_log_without_snapshot_is_incomplete() {
@@ -88,12 +88,12 @@
     assert_eq!(state.pools().count(), 0);
 }
 
-/// Guards against a snapshot that ends before the first retained record, which would skip the records between.
+/// Guards against adopting a snapshot that ends before the first retained record, which would skip the records between.
 #[test]
 fn a_snapshot_with_a_gap_before_the_log_is_not_adopted() {
     let log = random_log(3, 40);
     let mut writer = State::new(1);
-    fold(&mut writer, &log[..10], 1);
+    apply_log(&mut writer, &log[..10], 1);
     let snapshot = Record::Snapshot(writer.snapshot(origin("entry", 1), Time::MIN).unwrap());
     for (first, adopted) in [(11, true), (12, false)] {
         let mut state = State::new(first);
@@ -103,8 +103,8 @@
     }
 }
 
-/// Guards against a return to an older configuration: a partition during which older and newer states of peers
-/// arrive in any order, new processes, and a log that loses old records.
+/// Guards against a return to an older configuration. Older and newer states of peers arrive in any order, as after a
+/// partition, processes start at different offsets, and the log deletes old records.
 #[test]
 fn the_configuration_never_goes_back() {
     for seed in 0..200 {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Guards against a peer's or a snapshot's state that contradicts itself and is put in force.
+/// Guards against adopting an inconsistent state from a peer or a snapshot.
 #[test]
 fn a_contradicting_image_is_refused() {
     let mut state = State::new(1);
--- a/crates/ledger/tests/reservation.rs
+++ b/crates/ledger/tests/reservation.rs
@@ -1,4 +1,4 @@
-//! A host that is reserved stays assigned to its pool.
+//! Reserved hosts stay assigned to their pool.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::model::{
@@ -75,7 +75,7 @@
     (Subject::Reservation(name(pool)), value)
 }
 
-/// Guards against a host that is drained for one pool while it serves another.
+/// Guards against a host that is reserved in one pool while it is assigned to another.
 #[test]
 fn reserved_host_stays_in_its_pool() {
     let mut state = State::new(1);
