--- a/crates/contract/src/document/document.rs
+++ b/crates/contract/src/document/document.rs
@@ -1,4 +1,4 @@
-//! A document of configuration values by subject.
+//! Document with configuration values by subject.
 
 use super::text;
 use crate::{
@@ -19,13 +19,13 @@
     sync::Arc, //
 };
 
-/// The document does not parse or holds a value that fails its check.
+/// Error of a document that does not parse or contains an invalid value.
 pub type Error = text::Error;
 
 /// Values that an operator publishes together.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Document {
-    /// New value of each subject.
+    /// New values by subject.
     pub values: BTreeMap<Subject, Value>,
 }
 
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// Names line, column, field, value and remedy of the first error.
+    /// Fails with the line, column, field, value and remedy of the first error.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let source = text::Source::parse(text)?;
         let sections: Sections = source.read()?;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Checks one value; `null` stands for a removal.
+/// Validates one value of the object `section`; `None`, written as `null`, removes the subject.
 fn check<W, M: TryFrom<W, Error = wire::Error>>(
     source: &text::Source<'_>,
     section: &str,
@@ -78,7 +78,7 @@
         .map_err(|error| source.reject(&[section, name.as_str()], &error))
 }
 
-/// Objects of a document.
+/// Top-level objects of a document.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Sections {
@@ -90,6 +90,7 @@
     hosts: BTreeMap<Key, Option<wire::Assignment>>,
 }
 
+/// Member name that is validated while it is read.
 #[derive(Eq, Ord, PartialEq, PartialOrd)]
 struct Key(Name);
 
--- a/crates/contract/src/document/mod.rs
+++ b/crates/contract/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration documents that operators write in JSON with comments.
+//! Configuration documents, which operators write in JSON with comments.
 
 mod document;
 pub mod text;
--- a/crates/contract/src/document/text/mod.rs
+++ b/crates/contract/src/document/text/mod.rs
@@ -1,9 +1,9 @@
-//! JSON with comments into any deserialisable type, with the position of an error.
+//! Parser of JSON with comments into any deserialisable type. Errors name the position in the text.
 
 mod error;
-mod fault;
 mod node;
 mod source;
+mod value_error;
 
 pub use error::Error;
 pub use source::{
--- a/crates/contract/src/document/text/node.rs
+++ b/crates/contract/src/document/text/node.rs
@@ -1,6 +1,6 @@
-//! Deserialisation from the syntax tree, which knows the position of each value.
+//! Deserialiser for the syntax tree, which records the position of each value.
 
-use super::fault::Fault;
+use super::value_error::ValueError;
 use jsonc_parser::{
     ast,
     common::Ranged, //
@@ -15,7 +15,7 @@
     forward_to_deserialize_any, //
 };
 
-/// A value of the document.
+/// Value in the syntax tree.
 pub(super) struct Node<'a>(pub(super) &'a ast::Value<'a>);
 
 pub(super) fn range(node: &impl Ranged) -> (usize, usize) {
@@ -23,24 +23,24 @@
 }
 
 impl<'a> Node<'a> {
-    fn visit<'de, V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn visit<'de, V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ValueError> {
         match self.0 {
             ast::Value::StringLit(text) => visitor.visit_str(&text.value),
             ast::Value::NumberLit(number) => visit_number(number.value, visitor),
             ast::Value::BooleanLit(flag) => visitor.visit_bool(flag.value),
             ast::Value::NullKeyword(_) => visitor.visit_unit(),
             ast::Value::Array(array) => visitor.visit_seq(Elements {
-                rest: array.elements.iter().enumerate(),
+                remaining: array.elements.iter().enumerate(),
             }),
             ast::Value::Object(object) => visitor.visit_map(Members {
-                rest: object.properties.iter(),
-                value: None,
+                remaining: object.properties.iter(),
+                pending: None,
             }),
         }
     }
 }
 
-fn visit_number<'de, V: Visitor<'de>>(text: &str, visitor: V) -> Result<V::Value, Fault> {
+fn visit_number<'de, V: Visitor<'de>>(text: &str, visitor: V) -> Result<V::Value, ValueError> {
     if let Ok(number) = text.parse::<u64>() {
         return visitor.visit_u64(number);
     }
@@ -54,14 +54,14 @@
 }
 
 impl<'de> Deserializer<'de> for Node<'_> {
-    type Error = Fault;
+    type Error = ValueError;
 
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ValueError> {
         let range = range(self.0);
-        self.visit(visitor).map_err(|fault| fault.within(range))
+        self.visit(visitor).map_err(|error| error.within(range))
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ValueError> {
         match self.0 {
             ast::Value::NullKeyword(_) => visitor.visit_none(),
             _ => visitor.visit_some(self),
@@ -72,20 +72,20 @@
         self,
         _name: &'static str,
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         visitor.visit_newtype_struct(self)
     }
 
-    /// Takes an object only; derived types would also take their fields from a list, by position.
+    /// Accepts objects only. Derived implementations would also accept a list with the fields in their order.
     fn deserialize_struct<V: Visitor<'de>>(
         self,
         _name: &'static str,
         _fields: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         if let ast::Value::Array(array) = self.0 {
-            let fault: Fault = de::Error::custom("use an object");
-            return Err(fault.within(range(array)));
+            let error: ValueError = de::Error::custom("use an object");
+            return Err(error.within(range(array)));
         }
         self.deserialize_any(visitor)
     }
@@ -95,7 +95,7 @@
         _name: &'static str,
         _variants: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         let range = range(self.0);
         let result = match self.0 {
             ast::Value::StringLit(text) => {
@@ -103,14 +103,14 @@
             }
             ast::Value::Object(object) if object.properties.len() == 1 => {
                 let members = Members {
-                    rest: object.properties.iter(),
-                    value: None,
+                    remaining: object.properties.iter(),
+                    pending: None,
                 };
                 visitor.visit_enum(de::value::MapAccessDeserializer::new(members))
             }
             _ => Err(de::Error::custom("use a text or an object with one member")),
         };
-        result.map_err(|fault: Fault| fault.within(range))
+        result.map_err(|error: ValueError| error.within(range))
     }
 
     forward_to_deserialize_any! {
@@ -120,62 +120,65 @@
 }
 
 struct Elements<'a, I: Iterator<Item = (usize, &'a ast::Value<'a>)>> {
-    rest: I,
+    remaining: I,
 }
 
 impl<'de, 'a, I> de::SeqAccess<'de> for Elements<'a, I>
 where
     I: Iterator<Item = (usize, &'a ast::Value<'a>)>,
 {
-    type Error = Fault;
+    type Error = ValueError;
 
     fn next_element_seed<T: de::DeserializeSeed<'de>>(
         &mut self,
         seed: T,
-    ) -> Result<Option<T::Value>, Fault> {
-        let Some((index, value)) = self.rest.next() else {
+    ) -> Result<Option<T::Value>, ValueError> {
+        let Some((index, value)) = self.remaining.next() else {
             return Ok(None);
         };
         let element = seed.deserialize(Node(value));
         element
             .map(Some)
-            .map_err(|fault| fault.within(range(value)).under(format!("[{index}]")))
+            .map_err(|error| error.within(range(value)).under(format!("[{index}]")))
     }
 }
 
 struct Members<'a, I: Iterator<Item = &'a ast::ObjectProp<'a>>> {
-    rest: I,
-    value: Option<&'a ast::ObjectProp<'a>>,
+    remaining: I,
+    pending: Option<&'a ast::ObjectProp<'a>>,
 }
 
 impl<'de, 'a, I> de::MapAccess<'de> for Members<'a, I>
 where
     I: Iterator<Item = &'a ast::ObjectProp<'a>>,
 {
-    type Error = Fault;
+    type Error = ValueError;
 
     fn next_key_seed<K: de::DeserializeSeed<'de>>(
         &mut self,
         seed: K,
-    ) -> Result<Option<K::Value>, Fault> {
-        self.value = self.rest.next();
-        let Some(member) = self.value else {
+    ) -> Result<Option<K::Value>, ValueError> {
+        self.pending = self.remaining.next();
+        let Some(member) = self.pending else {
             return Ok(None);
         };
         let name = member.name.as_str();
         let key = seed.deserialize(name.into_deserializer());
         key.map(Some)
-            .map_err(|fault: Fault| fault.within(range(&member.name)))
+            .map_err(|error: ValueError| error.within(range(&member.name)))
     }
 
-    fn next_value_seed<V: de::DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Fault> {
-        let Some(member) = self.value.take() else {
+    fn next_value_seed<V: de::DeserializeSeed<'de>>(
+        &mut self,
+        seed: V,
+    ) -> Result<V::Value, ValueError> {
+        let Some(member) = self.pending.take() else {
             return Err(de::Error::custom("a member has no value"));
         };
         let value = seed.deserialize(Node(&member.value));
-        value.map_err(|fault| {
+        value.map_err(|error| {
             let name = member.name.as_str().to_owned();
-            fault.within(range(&member.value)).under(name)
+            error.within(range(&member.value)).under(name)
         })
     }
 }
--- a/crates/contract/src/document/text/source.rs
+++ b/crates/contract/src/document/text/source.rs
@@ -1,15 +1,15 @@
-//! A parsed text, and errors about its values.
+//! Parsed text and errors about its values.
 
 use super::{
     error::Error,
-    fault::{
-        Fault,
-        Kind, //
-    },
     node::{
         Node,
         range, //
     },
+    value_error::{
+        Kind,
+        ValueError, //
+    },
 };
 use crate::wire;
 use jsonc_parser::{
@@ -21,8 +21,8 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
 
-/// JSON with comments and trailing commas. The library's other extensions are off, because a missing comma or an
-/// unquoted word is more often a slip than an intention.
+/// Accepts JSON with comments and trailing commas. The other extensions of the library are disabled, because a missing
+/// comma or an unquoted word is more likely a mistake than intended.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -36,10 +36,10 @@
     allow_non_finite_numbers: false,
 };
 
-/// Longest quoted value in characters.
-const QUOTE_LIMIT: usize = 80;
+/// Length at which error messages cut off a quoted value.
+const QUOTE_LIMIT_CHARS: usize = 80;
 
-/// A text whose syntax is valid and whose objects have no member twice.
+/// Text with valid syntax and without duplicate members.
 pub struct Source<'a> {
     text: &'a str,
     value: ast::Value<'a>,
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Names line, column, field, value and remedy of the first value that does not parse or does not fit `T`.
+/// Fails with the line, column, field, value and remedy of the first value that does not parse or does not fit `T`.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
     Source::parse(text)?.read()
 }
@@ -59,11 +59,11 @@
     ///
     /// # Errors
     ///
-    /// Names line and column of the first fault, or of a member that occurs twice.
+    /// Fails with the line and column of the first syntax error, or of a duplicate member.
     pub fn parse(text: &'a str) -> Result<Self, Error> {
         let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &OPTIONS);
         let parsed = parsed.map_err(|error| {
-            let message = format!("{}: write JSON, with comments if you like", error.kind());
+            let message = format!("{}: write valid JSON; comments are allowed", error.kind());
             Error::at(text, error.range().start, message)
         })?;
         let Some(value) = parsed.value else {
@@ -79,16 +79,16 @@
     ///
     /// # Errors
     ///
-    /// Names line, column, field, value and remedy of the first value that does not fit `T`.
+    /// Fails with the line, column, field, value and remedy of the first value that does not fit `T`.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, Error> {
-        T::deserialize(Node(&self.value)).map_err(|fault| self.convert(fault))
+        T::deserialize(Node(&self.value)).map_err(|error| self.to_error(error))
     }
 
-    /// Makes the error for a value that failed its check, where `path` leads to the object that holds it.
+    /// Creates the error for an invalid value. `path` leads to the object that contains the value.
     pub fn reject(&self, path: &[&str], error: &wire::Error) -> Error {
         let object = self.find(path).unwrap_or(&self.value);
-        let inner: Vec<&str> = error.field.split(['.', '[', ']']).collect();
-        let steps = inner.iter().filter(|step| !step.is_empty());
+        let parts: Vec<&str> = error.field.split(['.', '[', ']']).collect();
+        let steps = parts.iter().filter(|step| !step.is_empty());
         let mut found = object;
         for step in steps {
             match child(found, step) {
@@ -109,32 +109,32 @@
             .try_fold(&self.value, |value, step| child(value, step))
     }
 
-    fn convert(&self, fault: Fault) -> Error {
-        let (start, end) = fault.range.unwrap_or_else(|| range(&self.value));
-        let mut field = fault
+    fn to_error(&self, error: ValueError) -> Error {
+        let (start, end) = error.range.unwrap_or_else(|| range(&self.value));
+        let mut field = error
             .path
             .iter()
             .rev()
-            .fold(String::new(), |path, step| join(&path, step));
-        let shown = match &fault.kind {
+            .fold(String::new(), |path, step| join_path(&path, step));
+        let problem = match &error.kind {
             Kind::Value => format!("value {} is not allowed", quote(&self.text[start..end])),
             Kind::Missing(name) => {
-                field = join(&field, name);
+                field = join_path(&field, name);
                 "it is missing".to_owned()
             }
             Kind::Unknown(name) => {
-                field = join(&field, name);
+                field = join_path(&field, name);
                 "it is unknown".to_owned()
             }
         };
         if field.is_empty() {
             "(whole text)".clone_into(&mut field);
         }
-        let message = format!("field {field}: {shown}: {}", fault.remedy);
+        let message = format!("field {field}: {problem}: {}", error.remedy);
         Error::at(self.text, start, message)
     }
 
-    /// Refuses a member that occurs twice. The depth of the recursion is bounded by the parser.
+    /// Rejects duplicate members. The parser limits the nesting depth, and so the depth of this recursion.
     fn check_members(&self, value: &ast::Value<'_>, path: &str) -> Result<(), Error> {
         match value {
             ast::Value::Array(array) => {
@@ -152,11 +152,11 @@
         let mut names = BTreeSet::new();
         for member in &object.properties {
             let name = member.name.as_str();
-            let field = join(path, name);
+            let field = join_path(path, name);
             if !names.insert(name) {
                 let value = quote(&self.text[member.value.start()..member.value.end()]);
                 let message =
-                    format!("field {field}: value {value} is the second one: give the field once");
+                    format!("field {field}: value {value} is a duplicate: give the field once");
                 return Err(Error::at(self.text, member.start(), message));
             }
             self.check_members(&member.value, &field)?;
@@ -177,20 +177,20 @@
     }
 }
 
-fn join(path: &str, step: &str) -> String {
+fn join_path(path: &str, step: &str) -> String {
     if path.is_empty() || step.starts_with('[') {
         return format!("{path}{step}");
     }
     format!("{path}.{step}")
 }
 
-/// Shortens a value and puts it on one line.
+/// Returns the value on one line, cut off after [`QUOTE_LIMIT_CHARS`] characters.
 fn quote(text: &str) -> String {
     let words: Vec<&str> = text.split_whitespace().collect();
     let line = words.join(" ");
-    if line.chars().count() <= QUOTE_LIMIT {
+    if line.chars().count() <= QUOTE_LIMIT_CHARS {
         return line;
     }
-    let start: String = line.chars().take(QUOTE_LIMIT).collect();
+    let start: String = line.chars().take(QUOTE_LIMIT_CHARS).collect();
     format!("{start}…")
 }
--- a/crates/contract/src/document/text/fault.rs
+++ b/crates/contract/src/document/text/value_error.rs
@@ -1,4 +1,4 @@
-//! A value that does not fit its type, before its position is turned into line and column.
+//! Error of a value that does not fit its type, before its byte range is converted to line and column.
 
 use core::fmt;
 use serde::de;
@@ -6,26 +6,26 @@
 /// What is wrong with a value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Kind {
-    /// The value itself.
+    /// The value is invalid.
     Value,
     /// A member of the object is missing.
     Missing(String),
-    /// The object has a member that its type does not know.
+    /// The object has an unknown member.
     Unknown(String),
 }
 
-/// A value that does not fit its type.
+/// Error of a value that does not fit its type.
 #[derive(Debug)]
-pub(super) struct Fault {
+pub(super) struct ValueError {
     pub(super) kind: Kind,
     pub(super) remedy: String,
-    /// First and last byte of the value, once it is known.
+    /// Byte range of the value, once it is known.
     pub(super) range: Option<(usize, usize)>,
-    /// Names and indices that lead to the value, the innermost first.
+    /// Member names and indices that lead to the value, innermost first.
     pub(super) path: Vec<String>,
 }
 
-impl Fault {
+impl ValueError {
     fn new(kind: Kind, remedy: String) -> Self {
         Self {
             kind,
@@ -41,32 +41,32 @@
         self
     }
 
-    /// Adds the name of the surrounding member or the index of the element.
+    /// Adds the name of the enclosing member or the index of the element to the path.
     pub(super) fn under(mut self, step: String) -> Self {
         self.path.push(step);
         self
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.remedy)
     }
 }
 
-impl core::error::Error for Fault {}
+impl core::error::Error for ValueError {}
 
-impl de::Error for Fault {
+impl de::Error for ValueError {
     fn custom<T: fmt::Display>(message: T) -> Self {
         Self::new(Kind::Value, message.to_string())
     }
 
     fn invalid_type(_: de::Unexpected<'_>, expected: &dyn de::Expected) -> Self {
-        Self::new(Kind::Value, advise(&expected.to_string()))
+        Self::new(Kind::Value, describe_expected(&expected.to_string()))
     }
 
     fn invalid_value(_: de::Unexpected<'_>, expected: &dyn de::Expected) -> Self {
-        Self::new(Kind::Value, advise(&expected.to_string()))
+        Self::new(Kind::Value, describe_expected(&expected.to_string()))
     }
 
     fn missing_field(field: &'static str) -> Self {
@@ -83,9 +83,9 @@
     }
 }
 
-/// Translates the name of a type into terms of the document.
-fn advise(expected: &str) -> String {
-    let advice = match expected {
+/// Returns the remedy for an expected type in terms of JSON instead of Rust type names.
+fn describe_expected(expected: &str) -> String {
+    let description = match expected {
         "u8" => "a whole number from 0 to 255",
         "u16" => "a whole number from 0 to 65535",
         "u32" => "a whole number from 0 to 4294967295",
@@ -97,5 +97,5 @@
         other if other.starts_with("struct ") => "an object",
         other => other,
     };
-    format!("use {advice}")
+    format!("use {description}")
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,4 +1,4 @@
-//! Contracts, pools and host assignments: documents checked into typed values.
+//! Contracts, pools, host assignments and reservations: parsing, validation and serialisation.
 
 pub mod document;
 pub mod model;
--- a/crates/contract/src/model/contract.rs
+++ b/crates/contract/src/model/contract.rs
@@ -1,46 +1,46 @@
-//! The contract of one customer, the only source of all its limits.
+//! Contract of a customer, which contains all limits that apply to the customer.
 
 use sassafrascrank_base::prelude::*;
 
-/// Size of a SHA-256 digest.
+/// Size of a SHA-256 digest in bytes.
 pub const DIGEST_BYTES: usize = 32;
 
-/// Everything that a customer may ask for.
+/// Limits and shares that apply to the requests of one customer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Contract {
     /// SHA-256 digest of the customer's credential.
     pub digest: [u8; DIGEST_BYTES],
-    /// How fast the customer may send requests, retries included.
+    /// Rate limit of the customer's requests, including retries.
     pub rate: Rate,
-    /// Most slots that the customer may hold at once over all pools; `None` leaves it to the shares.
+    /// Most slots that the customer may use at once over all pools; `None` if only the shares limit them.
     pub concurrency: Option<u32>,
-    /// Contracted share of each pool in percent; the customer may use no other pool.
+    /// Contracted share of each pool in percent. The customer may not use other pools.
     pub shares: Vec<(Name, u32)>,
-    /// Urgency classes, the most urgent first; never empty.
+    /// Urgency classes, the most urgent first; at least one.
     pub classes: Vec<Class>,
-    /// Retries by the entry process, in percent of the customer's requests.
+    /// Most retries by the entry process, in percent of the customer's requests.
     pub retry_percent: u32,
-    /// Whether requests may go to another availability zone when the own one has no free slot.
+    /// Whether requests may be sent to another availability zone if the local one has no free slot.
     pub spill: bool,
 }
 
 /// Token bucket parameters.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Rate {
-    /// Requests a second.
+    /// Average rate in requests per second.
     pub per_second: u32,
-    /// Requests that may come at once after a pause.
+    /// Requests that may arrive at once after an idle period.
     pub burst: u32,
 }
 
 /// An urgency class of a contract.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Class {
-    /// Name that requests carry.
+    /// Name by which requests choose the class.
     pub name: Name,
-    /// Share of the customer's slots in percent that this class keeps while the others flood.
+    /// Share of the customer's slots in percent that this class keeps while other classes are overloaded.
     pub share: u32,
-    /// Longest time in the queue.
+    /// Longest time that a request may wait in the queue.
     pub queue_timeout: Duration,
     /// Most requests in the queue of one entry process.
     pub queue_limit: u32,
--- a/crates/contract/src/model/mod.rs
+++ b/crates/contract/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Checked configuration values.
+//! Validated configuration values.
 
 mod contract;
 mod pool;
--- a/crates/contract/src/model/reservation.rs
+++ b/crates/contract/src/model/reservation.rs
@@ -3,31 +3,32 @@
 use sassafrascrank_base::prelude::*;
 use std::collections::BTreeMap;
 
-/// Absences of one pool; every voluntary act on the pool changes this one value.
+/// Hosts of one pool that are out of service. Every maintenance step or move of a host in the pool changes this value.
 ///
-/// Failures are recorded too, so that an act that was decided before a recorded failure has a stale basis.
+/// Failures are recorded as well, so that a decision made without knowing a recorded failure has a stale basis and is
+/// rejected.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Reservation {
-    /// The wave that the pool takes part in.
+    /// State of the maintenance wave in this pool.
     pub wave: Wave,
-    /// Hosts that are voluntarily out of service; each is assigned to this pool.
+    /// Hosts that were deliberately taken out of service; each is assigned to this pool.
     pub hosts: BTreeMap<Name, Absence>,
-    /// Hosts among these that move to another pool, with that pool; the others are maintained.
+    /// Those of `hosts` that move to another pool, with the new pool; the others are maintained.
     pub moves: BTreeMap<Name, Name>,
-    /// Hosts that failed on their own, with the start of the failure.
+    /// Hosts that failed, with the start of the failure.
     pub failed: BTreeMap<Name, Time>,
-    /// Hosts that are done in this wave.
+    /// Hosts that finished this wave.
     pub finished: BTreeMap<Name, Finish>,
 }
 
-/// State of a maintenance wave, as one pool records it.
+/// State of a maintenance wave as recorded by one pool.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Wave {
-    /// Number of the period since the Unix epoch; 0 before the first wave.
+    /// Number of the wave, counted in periods since the Unix epoch; 0 before the first wave.
     pub number: u64,
-    /// When the pool started it.
+    /// When the pool started the wave.
     pub started: Time,
-    /// When `progress` last changed; evidence from before does not stop the wave again.
+    /// When `progress` last changed. After a resumption, failures from before this time do not stop the wave again.
     pub since: Time,
     /// Whether new drains start.
     pub progress: Progress,
@@ -36,62 +37,62 @@
 /// Whether a wave starts new drains.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Progress {
-    /// It does.
+    /// New drains start.
     #[default]
     Running,
-    /// An operator paused it; hosts that are out of service still return.
+    /// An operator paused the wave. Hosts that are out of service still return.
     Paused,
-    /// It stopped by itself, until an operator resumes it.
+    /// The wave stopped automatically and waits for an operator to resume it.
     Stopped(Cause),
 }
 
 /// Why a wave stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// Hosts that returned fail more often than the others.
+    /// Hosts that returned to service fail more often than hosts not yet maintained.
     Failures,
-    /// A rack failed.
+    /// All hosts of a rack failed.
     Rack,
 }
 
-/// A host that is voluntarily out of service.
+/// State of a host that was deliberately taken out of service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Absence {
-    /// How far it is.
+    /// Current step.
     pub step: Step,
-    /// When it reached that step.
+    /// When the host reached that step.
     pub since: Time,
-    /// The wave that it belongs to.
+    /// Number of the wave in which the step was recorded.
     pub wave: u64,
 }
 
-/// Step of a voluntary absence.
+/// Step of a deliberate absence.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// It gets no new work and ends what it has.
+    /// The host receives no new work and completes its current work.
     Draining,
-    /// It has no work and may be rebooted.
+    /// The host is drained and may be rebooted or moved.
     Out,
-    /// It rebooted and has yet to prove healthy.
+    /// The host has rebooted and must stay healthy for the probation time.
     Returning,
 }
 
-/// How a host was done in a wave.
+/// How a host finished a wave.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Finish {
-    /// When it returned or was skipped.
+    /// When the host returned to service, was given up or was skipped.
     pub at: Time,
-    /// How.
+    /// Result for the host.
     pub result: Maintenance,
 }
 
 /// Result of a wave for one host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Maintenance {
-    /// It was rebooted and proved healthy.
+    /// The host was rebooted and is healthy.
     Done,
-    /// It was rebooted and did not become healthy in time.
+    /// The host did not become healthy in time after it went out of service.
     Broken,
-    /// An operator skipped it.
+    /// An operator excluded the host from the wave.
     Skipped,
 }
--- a/crates/contract/src/model/subject.rs
+++ b/crates/contract/src/model/subject.rs
@@ -13,7 +13,7 @@
 };
 use std::sync::Arc;
 
-/// What one configuration value is about; changes to different subjects never conflict.
+/// Object that a configuration value describes. Changes of different subjects never conflict.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Subject {
     /// Contract of a customer.
--- a/crates/contract/src/wire/contract.rs
+++ b/crates/contract/src/wire/contract.rs
@@ -1,4 +1,4 @@
-//! Serialised contract.
+//! Serialised form of a contract.
 
 use super::{
     Error,
@@ -29,11 +29,11 @@
 pub struct Contract {
     /// SHA-256 digest of the credential, 64 hexadecimal digits.
     pub credential_sha256: String,
-    /// Requests a second, 1 to 1,000,000.
+    /// Requests per second, 1 to 1,000,000.
     pub rate: u32,
-    /// Requests at once after a pause, 1 to 1,000,000.
+    /// Requests that may arrive at once after an idle period, 1 to 1,000,000.
     pub burst: u32,
-    /// Most slots at once, 1 to 1,000,000.
+    /// Most slots in use at once, 1 to 1,000,000.
     #[serde(default)]
     pub concurrency: Option<u32>,
     /// Share of each pool in percent, 1 to 100; a pool that occurs twice is an error.
@@ -54,7 +54,7 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name that requests carry.
+    /// Name by which requests choose the class.
     pub name: String,
     /// Share of the customer's slots in percent, 1 to 100.
     pub share: u32,
@@ -64,7 +64,7 @@
     pub queue_limit: u32,
 }
 
-/// Reads an object and refuses a member that occurs twice, of which a map would keep the last.
+/// Reads an object and rejects duplicate members. A map would silently keep the last of them.
 fn read_shares<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, u32>, D::Error> {
@@ -93,7 +93,7 @@
     deserializer.deserialize_map(Shares)
 }
 
-/// Retries in percent of requests if the contract does not say; a tenth keeps a retry storm small.
+/// Default limit of retries in percent of requests; 10% limits the load of a retry storm.
 const fn default_retry_percent() -> u32 {
     10
 }
@@ -228,7 +228,7 @@
         let remedy = "give the SHA-256 digest of the credential as 64 hexadecimal digits";
         Error::new("credential_sha256", text, remedy)
     };
-    // `from_str_radix` alone would take a sign for a digit.
+    // `from_str_radix` would also accept a sign.
     let digits = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if text.len() != 2 * model::DIGEST_BYTES || !digits {
         return Err(error());
--- a/crates/contract/src/wire/mod.rs
+++ b/crates/contract/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Serialised form of configuration values, in documents, log records and peer messages.
+//! Serialised form of configuration values in documents, log records and peer messages.
 
 mod contract;
 mod pool;
--- a/crates/contract/src/wire/pool.rs
+++ b/crates/contract/src/wire/pool.rs
@@ -1,4 +1,4 @@
-//! Serialised pool and host assignment.
+//! Serialised form of a pool and of a host assignment.
 
 use super::{
     Error,
@@ -13,7 +13,7 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Requests that one upstream runs at once, 1 to 1,024.
+    /// Requests that one upstream processes at once, 1 to 1,024.
     #[serde(default = "default_slots")]
     pub slots: u32,
     /// Connections that one upstream accepts, 1 to 65,535.
@@ -22,7 +22,7 @@
     /// Longest time of one attempt in milliseconds, 1 to 86,400,000.
     #[serde(default = "default_attempt_timeout_ms")]
     pub attempt_timeout_ms: u32,
-    /// Least available hosts in percent, 0 to 100.
+    /// Least share of available hosts in percent, 0 to 100.
     #[serde(default = "default_availability_percent")]
     pub availability_percent: u32,
     /// Whether the pool holds spare hosts.
@@ -35,16 +35,16 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assignment {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
 }
 
-/// Slots of a runner in both deployments.
+/// Default number of slots: that of a runner in both deployments.
 const fn default_slots() -> u32 {
     8
 }
 
-/// Connections of a runner in both deployments.
+/// Default number of connections: that of a runner in both deployments.
 const fn default_connections() -> u32 {
     64
 }
--- a/crates/contract/src/wire/reservation.rs
+++ b/crates/contract/src/wire/reservation.rs
@@ -1,4 +1,4 @@
-//! Serialised reservation of a pool.
+//! Serialised form of a pool's reservation.
 
 use super::{
     Error,
@@ -16,15 +16,15 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reservation {
-    /// The wave that the pool takes part in.
+    /// State of the maintenance wave in this pool.
     pub wave: Wave,
-    /// Hosts that are voluntarily out of service.
+    /// Hosts that were deliberately taken out of service.
     pub hosts: BTreeMap<String, Absence>,
-    /// Hosts among these that move, with their new pool.
+    /// Those of `hosts` that move to another pool, with the new pool.
     pub moves: BTreeMap<String, String>,
-    /// Hosts that failed on their own, with the start of the failure.
+    /// Hosts that failed, with the start of the failure.
     pub failed: BTreeMap<String, u64>,
-    /// Hosts that are done in this wave.
+    /// Hosts that finished this wave.
     pub finished: BTreeMap<String, Finish>,
 }
 
@@ -33,9 +33,9 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wave {
-    /// Number of the period.
+    /// Number of the wave.
     pub number: u64,
-    /// When the pool started it.
+    /// When the pool started the wave.
     pub started_ms: u64,
     /// When `progress` last changed.
     pub since_ms: u64,
@@ -52,7 +52,7 @@
     Running,
     /// Paused by an operator.
     Paused,
-    /// Stopped because returned hosts fail more often.
+    /// Stopped because returned hosts fail more often than others.
     StoppedFailures,
     /// Stopped because a rack failed.
     StoppedRack,
@@ -67,7 +67,7 @@
     pub step: Step,
     /// When the host reached that step.
     pub since_ms: u64,
-    /// The wave.
+    /// Number of the wave in which the step was recorded.
     pub wave: u64,
 }
 
@@ -76,11 +76,11 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
-    /// Ends its work.
+    /// Completes its work.
     Draining,
     /// May be rebooted.
     Out,
-    /// Has yet to prove healthy.
+    /// Rebooted and on probation.
     Returning,
 }
 
@@ -89,7 +89,7 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Finish {
-    /// When.
+    /// When the host finished the wave.
     pub at_ms: u64,
     /// `done`, `broken` or `skipped`.
     pub result: Maintenance,
@@ -102,7 +102,7 @@
 pub enum Maintenance {
     /// Rebooted and healthy.
     Done,
-    /// Rebooted and not healthy in time.
+    /// Not healthy in time after it went out of service.
     Broken,
     /// Skipped by an operator.
     Skipped,
--- a/crates/contract/src/wire/value.rs
+++ b/crates/contract/src/wire/value.rs
@@ -1,4 +1,4 @@
-//! A value of any subject, and the error of a value that fails its check.
+//! Serialised form of any value, and the error of an invalid value.
 
 use super::{
     Assignment,
@@ -9,7 +9,7 @@
 use crate::model;
 use std::sync::Arc;
 
-/// A field holds a value that is out of its range or contradicts another field.
+/// Error of a field whose value is out of range or contradicts another field.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error("field {field}: value {value} is not allowed: {remedy}")]
@@ -18,7 +18,7 @@
     pub field: String,
     /// Value as it was given.
     pub value: String,
-    /// What to write instead.
+    /// How to correct the value.
     pub remedy: String,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Puts the path of the surrounding object before the field.
+    /// Prepends the path of the enclosing object to the field.
     pub(super) fn within(self, object: &str) -> Self {
         Self {
             field: format!("{object}.{}", self.field),
--- a/crates/contract/tests/document.rs
+++ b/crates/contract/tests/document.rs
@@ -1,10 +1,10 @@
-//! Documents that operators write.
+//! Parsing of configuration documents.
 
 use sassafrascrank_contract::document::Document;
 use std::fmt::Write;
 
-/// Name of the case and the document, with the mistake that the message has to name.
-const BAD: &[(&str, &str)] = &[
+/// Pairs of the name of a mistake and a document that contains it.
+const INVALID_DOCUMENTS: &[(&str, &str)] = &[
     ("empty text", ""),
     ("not an object", "[]"),
     ("unclosed object", "{\"pools\": {\n"),
@@ -65,8 +65,8 @@
     ),
 ];
 
-/// A contract with one member replaced; each pair is a member and the faulty text for it.
-const BAD_CONTRACT: &[(&str, &str, &str)] = &[
+/// Invalid contracts: the name of the mistake, the member that is replaced, and its invalid text.
+const INVALID_CONTRACTS: &[(&str, &str, &str)] = &[
     ("short digest", "credential_sha256", "\"abc\""),
     (
         "digest with signs",
@@ -147,18 +147,18 @@
     )
 }
 
-/// Guards against a bad document that is accepted, and against a message that does not tell the operator what to
-/// change where.
+/// Guards against accepting an invalid document, and against an error message that does not say what to change and
+/// where.
 #[test]
 fn bad_documents_name_line_field_value_and_remedy() {
     let mut messages = String::new();
     let deep = "[".repeat(100_000);
     writeln!(messages, "nested too deeply: {}", describe(&deep)).unwrap();
-    for (case, text) in BAD {
+    for (case, text) in INVALID_DOCUMENTS {
         let error = describe(text);
         writeln!(messages, "{case}: {error}").unwrap();
     }
-    for (case, member, text) in BAD_CONTRACT {
+    for (case, member, text) in INVALID_CONTRACTS {
         let error = describe(&contract(member, text));
         writeln!(messages, "{case}: {error}").unwrap();
     }
@@ -166,7 +166,7 @@
     assert!(!messages.contains("ACCEPTED"));
 }
 
-/// Guards against a good document that is refused or read into other values, and against a removal that is lost.
+/// Guards against a valid document that is rejected or read into wrong values, and against a removal that is ignored.
 #[test]
 fn a_document_with_comments_is_read_whole() {
     let text = r#"{
--- a/crates/contract/tests/reservation.rs
+++ b/crates/contract/tests/reservation.rs
@@ -1,4 +1,4 @@
-//! Records of absences keep every field between processes.
+//! Serialisation of reservations.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::{
@@ -25,7 +25,7 @@
     Name::new(text).unwrap()
 }
 
-/// Guards against a step, result or stop cause that changes when another process reads it.
+/// Guards against a step, result or stop cause that changes by serialisation and deserialisation.
 #[test]
 fn reservation_survives_the_wire() {
     let progresses = [
--- a/crates/contract/tests/wire.rs
+++ b/crates/contract/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Serialised values and their checks.
+//! Serialisation and validation of values.
 
 use core::time::Duration;
 use proptest::prelude::*;
@@ -90,7 +90,7 @@
     prop_oneof![contract(), pool(), assignment, Just(model::Value::Removed)]
 }
 
-/// Guards against two shares of one pool in a record, of which the last would win silently.
+/// Guards against a record with two shares of one pool, of which the last would silently take effect.
 #[test]
 fn a_share_given_twice_is_refused() {
     let text = r#"{"credential_sha256":"","rate":1,"burst":1,"shares":{"a":1,"a":2},"classes":[]}"#;
@@ -106,7 +106,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a field that is lost or changed between processes.
+    /// Guards against a field that is lost or changed by serialisation and deserialisation.
     #[test]
     fn a_valid_value_survives_the_wire(value in value()) {
         let text = serde_json::to_string(&wire::Value::from(&value)).unwrap();
@@ -114,8 +114,7 @@
         prop_assert_eq!(model::Value::try_from(read), Ok(value));
     }
 
-    /// Guards against a panic on a pool with arbitrary numbers, and against one that is taken although its range
-    /// is wrong.
+    /// Guards against a panic on a pool with arbitrary numbers, and against accepting numbers that are out of range.
     #[test]
     fn an_arbitrary_pool_is_checked(
         slots: u32, connections: u32, attempt_timeout_ms: u32, availability_percent: u32, spare: bool,
@@ -128,7 +127,7 @@
         prop_assert_eq!(model::Pool::try_from(wire).is_ok(), valid);
     }
 
-    /// Guards against a panic of the digest decoder on arbitrary text.
+    /// Guards against a panic of the digest decoder on arbitrary text, and against accepting an invalid digest.
     #[test]
     fn an_arbitrary_digest_is_checked(text in "\\PC{0,70}") {
         let wire = wire::Contract {
