--- a/crates/base/src/hash/mod.rs
+++ b/crates/base/src/hash/mod.rs
@@ -1,4 +1,4 @@
-//! Hashes that are equal in all processes and versions.
+//! Hashes with the same result in all processes and versions.
 
 mod hash;
 
--- a/crates/base/src/key/caller.rs
+++ b/crates/base/src/key/caller.rs
@@ -1,4 +1,4 @@
-//! Key of a caller that waits for its answer.
+//! Key of a caller that waits for an answer.
 
 slotmap::new_key_type! {
     /// Identifies a waiting caller within one exchange thread.
--- a/crates/base/src/key/class.rs
+++ b/crates/base/src/key/class.rs
@@ -4,5 +4,5 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Index(pub u8);
 
-/// Number of urgency classes that one contract may have.
+/// Most urgency classes in one contract.
 pub const CLASS_LIMIT: usize = 8;
--- a/crates/base/src/key/mod.rs
+++ b/crates/base/src/key/mod.rs
@@ -1,4 +1,4 @@
-//! `Copy` keys into arenas, one module for each kind of thing.
+//! `Copy` keys into arenas, one module for each kind of object.
 
 pub mod availability_zone;
 pub mod caller;
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,4 +1,4 @@
-//! Time, names, keys and outcomes shared by all crates.
+//! Basic types shared by all crates: time, names, arena keys, request outcomes and stable hashes.
 
 pub mod hash;
 pub mod key;
@@ -7,7 +7,7 @@
 pub mod time;
 
 pub mod prelude {
-    //! Common types, imported as a whole by the other crates.
+    //! Common types, meant for a glob import.
 
     pub use crate::{
         key::{
--- a/crates/base/src/name/name.rs
+++ b/crates/base/src/name/name.rs
@@ -1,4 +1,4 @@
-//! A checked name that is cheap to clone.
+//! Validated name that is cheap to clone.
 
 use core::fmt;
 use std::{
@@ -6,27 +6,27 @@
     sync::Arc, //
 };
 
-/// Longest name in bytes, the limit of a DNS label.
+/// Longest name in bytes, equal to the limit of a DNS label.
 const LENGTH_LIMIT: usize = 63;
 
 /// Name of a customer, pool, host or availability zone.
 ///
-/// It has 1 to 63 characters out of `a` to `z`, `0` to `9`, `-`, `_` and `.`.
+/// It consists of 1 to 63 characters out of `a` to `z`, `0` to `9`, `-`, `_` and `.`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Name(Arc<str>);
 
-/// The text is not a valid name.
+/// Error of a text that is not a valid name; contains the text, cut off after 64 characters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error("invalid name {0:?}: use 1 to {LENGTH_LIMIT} characters out of a-z, 0-9, '-', '_' and '.'")]
 pub struct Error(pub String);
 
 impl Name {
-    /// Checks `text` and makes it a name.
+    /// Creates a name from `text` if it is valid.
     ///
     /// # Errors
     ///
-    /// Fails if the text is empty, too long or holds another character.
+    /// Fails if the text is empty, too long or contains a character that is not allowed.
     pub fn new(text: &str) -> Result<Self, Error> {
         let valid = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || b"-_.".contains(&c);
         if text.is_empty() || text.len() > LENGTH_LIMIT || !text.bytes().all(valid) {
@@ -35,7 +35,7 @@
         Ok(Self(text.into()))
     }
 
-    /// Returns a valid name for a place where no name is known.
+    /// Returns the name `-`, for use where the actual name is unknown.
     pub fn placeholder() -> Self {
         Self("-".into())
     }
--- a/crates/base/src/outcome/mod.rs
+++ b/crates/base/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! What became of a request, as told to its caller.
+//! Outcome of a request, as reported to its caller.
 
 mod reason;
 mod refusal;
--- a/crates/base/src/outcome/reason.rs
+++ b/crates/base/src/outcome/reason.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a request is refused.
+//! Reasons for which a request is not answered by an upstream.
 
 use core::fmt;
 
@@ -11,7 +11,7 @@
         }
 
         impl Reason {
-            /// Every reason, in the order of their declaration.
+            /// All reasons in the order of declaration.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
 
             /// Returns the machine-readable code.
@@ -19,7 +19,7 @@
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// Returns what the caller or the operator can do about it.
+            /// Returns the remedy that the caller or the operator can apply.
             pub const fn remedy(self) -> &'static str {
                 match self { $(Self::$name => $remedy,)* }
             }
@@ -34,15 +34,15 @@
     Malformed = "malformed", "correct the header that the detail names";
     /// The pool is unknown or the contract does not cover it.
     PoolUnknown = "pool-unknown", "name a pool of your contract in Sassafrascrank-Pool";
-    /// The contract's rate is used up.
+    /// The rate limit of the contract is exceeded.
     RateLimited = "rate-limited", "send fewer requests a second or ask for a larger contract";
     /// The contract's queue for this pool is full.
     QueueFull = "queue-full", "wait for the time in Retry-After";
-    /// The request can't start before its deadline.
+    /// The request cannot be started before its deadline.
     DeadlineUnmet = "deadline-unmet", "allow more time or wait for the time in Retry-After";
-    /// The entry process holds as many requests as it can.
+    /// The entry process has reached its limit of concurrent requests.
     Overloaded = "overloaded", "wait for the time in Retry-After";
-    /// No upstream of the pool takes requests.
+    /// No upstream of the pool accepts requests.
     NoUpstream = "no-upstream", "wait for the time in Retry-After";
     /// The process is shutting down.
     ShuttingDown = "shutting-down", "send the request again; the balancer will choose another host";
@@ -54,19 +54,19 @@
     ConnectionLost = "connection-lost", "repeat the request with the same key, or check its effect";
     /// The upstream did not answer in time.
     AttemptTimeout = "attempt-timeout", "repeat the request with the same key, or check its effect";
-    /// A non-idempotent request came without a usable key.
+    /// A non-idempotent request has no valid idempotency key.
     KeyRequired = "key-required", "send Idempotency-Key: <availability zone>:<UUIDv7>";
-    /// The same key came with another request.
+    /// The idempotency key was used for a different request.
     KeyConflict = "key-conflict", "make a new key for a new request";
-    /// The key's creation time lies ahead of what this entry may run now.
+    /// The creation time of the idempotency key is later than what this entry process may run now.
     KeyEarly = "key-early", "wait for the time in Retry-After and repeat the same key";
-    /// The key is older than the memory of the entry that owns it.
+    /// The idempotency key is older than the records that its owner keeps.
     KeyExpired = "key-expired", "check the effect of the request before making a new key";
-    /// The entry that owns the key can't be reached.
+    /// The entry process that owns the idempotency key cannot be reached.
     OwnerUnreachable = "owner-unreachable", "repeat the same key later";
-    /// The table of keyed requests is full.
+    /// The table of requests with idempotency keys is full.
     KeyTableFull = "key-table-full", "wait for the time in Retry-After and repeat the same key";
-    /// The request ran, but its answer is no longer held.
+    /// The request ran, but its answer is no longer stored.
     AnswerDropped = "answer-dropped", "the request ran; don't send it again with another key";
 }
 
--- a/crates/base/src/outcome/refusal.rs
+++ b/crates/base/src/outcome/refusal.rs
@@ -1,4 +1,4 @@
-//! The closed set of outcomes, and the refusal that carries one.
+//! Outcomes of requests, and the refusal of a request.
 
 use super::Reason;
 use core::{
@@ -6,14 +6,14 @@
     time::Duration, //
 };
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// An upstream answered.
     Answered,
-    /// The request did not run and will not run.
+    /// The request was not run and will not be run.
     NotRun,
-    /// The request may have run; repeating it with the same key never runs it a second time.
+    /// The request may have run. Repeating it with the same idempotency key never runs it a second time.
     Unknown,
 }
 
@@ -34,19 +34,19 @@
     }
 }
 
-/// A request that ends without an answer of an upstream.
+/// End of a request without an answer of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Whether the request ran, as far as is known for certain.
+    /// Whether the request ran, as far as is certain.
     pub outcome: Outcome,
-    /// Why it was refused.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// How long the caller should wait before it tries again, if waiting helps.
+    /// How long the caller should wait before it repeats the request; `None` if waiting does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Refuses a request that did not run.
+    /// Creates the refusal of a request that was not run.
     pub const fn not_run(reason: Reason) -> Self {
         Self {
             outcome: Outcome::NotRun,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Ends a request that may have run.
+    /// Creates the refusal of a request that may have run.
     pub const fn unknown(reason: Reason) -> Self {
         Self {
             outcome: Outcome::Unknown,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the refusal with a time to wait before the next try.
+    /// Sets the time to wait before the request is repeated.
     pub const fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
--- a/crates/base/src/time/mod.rs
+++ b/crates/base/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Points in time, passed to every function that decides.
+//! Points in time. Decisions receive the current time as an argument instead of reading a clock.
 
 mod time;
 
--- a/crates/base/src/time/time.rs
+++ b/crates/base/src/time/time.rs
@@ -1,4 +1,4 @@
-//! A point in time with microsecond resolution.
+//! Point in time with microsecond resolution.
 
 use core::{
     ops::{
@@ -8,41 +8,41 @@
     time::Duration, //
 };
 
-/// Microseconds since the Unix epoch; arithmetic saturates.
+/// Point in time in microseconds since the Unix epoch; arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Time(u64);
 
 impl Time {
     /// The earliest time.
     pub const MIN: Self = Self(0);
-    /// The latest time; as a deadline it means "none".
+    /// The latest time; as a deadline it means that there is none.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Makes a time from microseconds since the Unix epoch.
+    /// Creates a time from microseconds since the Unix epoch.
     #[inline]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Makes a time from milliseconds since the Unix epoch.
+    /// Creates a time from milliseconds since the Unix epoch.
     #[inline]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
 
-    /// Returns microseconds since the Unix epoch.
+    /// Returns the microseconds since the Unix epoch.
     #[inline]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Returns milliseconds since the Unix epoch.
+    /// Returns the whole milliseconds since the Unix epoch.
     #[inline]
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Returns the time since `earlier`, zero if it lies ahead.
+    /// Returns the time that has passed since `earlier`, or zero if `earlier` is later than `self`.
     #[inline]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -53,10 +53,10 @@
     type Output = Self;
 
     #[inline]
-    fn add(self, span: Duration) -> Self {
+    fn add(self, duration: Duration) -> Self {
         Self(
             self.0
-                .saturating_add(u64::try_from(span.as_micros()).unwrap_or(u64::MAX)),
+                .saturating_add(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)),
         )
     }
 }
@@ -65,10 +65,10 @@
     type Output = Self;
 
     #[inline]
-    fn sub(self, span: Duration) -> Self {
+    fn sub(self, duration: Duration) -> Self {
         Self(
             self.0
-                .saturating_sub(u64::try_from(span.as_micros()).unwrap_or(u64::MAX)),
+                .saturating_sub(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)),
         )
     }
 }
