--- a/crates/ring/src/lib.rs
+++ b/crates/ring/src/lib.rs
@@ -1,4 +1,4 @@
-//! Bounded single-producer, single-consumer rings that join the threads of a process.
+//! Bounded single-producer, single-consumer rings that connect the threads of a process.
 
 mod ring;
 mod signal;
--- a/crates/ring/src/ring.rs
+++ b/crates/ring/src/ring.rs
@@ -1,4 +1,4 @@
-//! The two ends of a ring.
+//! Sender and receiver of a ring.
 
 use crate::Signal;
 use std::sync::atomic::{
@@ -19,7 +19,7 @@
     consumer: rtrb::Consumer<T>,
 }
 
-/// Makes a ring of `capacity` items whose consumer waits on `signal`.
+/// Creates a ring for `capacity` items, whose consumer waits on `signal`.
 pub fn ring<T>(capacity: usize, signal: &Signal) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let signal = signal.clone();
@@ -27,45 +27,46 @@
 }
 
 impl<T> Sender<T> {
-    /// Puts an item into the ring and wakes the consumer if it waits.
+    /// Puts an item into the ring and wakes the consumer if it is waiting.
     ///
     /// # Errors
     ///
-    /// Gives the item back if the ring is full.
+    /// Returns the item if the ring is full.
     pub fn send(&mut self, item: T) -> Result<(), T> {
         self.producer
             .push(item)
             .map_err(|rtrb::PushError::Full(item)| item)?;
-        // Orders the push before the look at the consumer's flag; `Receiver::is_empty` has the other half.
+        // Orders the push before the check of the consumer's flag in `raise`. It pairs with the fence in
+        // `Receiver::is_empty`, which orders the setting of the flag before the check for items.
         fence(Ordering::SeqCst);
         self.signal.raise();
         Ok(())
     }
 
-    /// Returns how many items fit at the moment.
+    /// Returns how many items can be sent before the ring is full.
     pub fn free(&self) -> usize {
         self.producer.slots()
     }
 
-    /// Tells whether the consuming end is gone.
+    /// Returns whether the receiver was dropped.
     pub fn is_closed(&self) -> bool {
         self.producer.is_abandoned()
     }
 }
 
 impl<T> Receiver<T> {
-    /// Takes the oldest item, if there is one.
+    /// Removes and returns the oldest item, or `None` if the ring is empty.
     pub fn try_recv(&mut self) -> Option<T> {
         self.consumer.pop().ok()
     }
 
-    /// Tells whether no item waits.
+    /// Returns whether the ring is empty.
     pub fn is_empty(&self) -> bool {
         fence(Ordering::SeqCst);
         self.consumer.is_empty()
     }
 
-    /// Tells whether the producing end is gone; items may still wait.
+    /// Returns whether the sender was dropped; items may still be in the ring.
     pub fn is_closed(&self) -> bool {
         self.consumer.is_abandoned()
     }
--- a/crates/ring/src/signal.rs
+++ b/crates/ring/src/signal.rs
@@ -1,4 +1,4 @@
-//! Wake-up of one consumer by many producers.
+//! Signal by which many producers wake one consumer.
 
 use std::sync::{
     Arc,
@@ -9,9 +9,9 @@
 };
 use tokio::sync::Notify;
 
-/// Wakes the one consumer of a set of rings.
+/// Wakes the consumer of one or more rings.
 ///
-/// A wake-up costs far more than a push, so producers notify only a consumer that waits.
+/// A wake-up costs far more than a push, so producers wake the consumer only if it is waiting.
 #[derive(Clone, Debug, Default)]
 pub struct Signal(Arc<State>);
 
@@ -22,22 +22,24 @@
 }
 
 impl Signal {
-    /// Makes a signal whose consumer does not wait.
+    /// Creates a signal whose consumer is not waiting.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Wakes the consumer if it waits.
+    /// Wakes the consumer if it is waiting.
     #[inline]
     pub fn raise(&self) {
-        // The total order of this swap and of the store in `wait` rules out that the producer misses the flag
-        // while the consumer misses the item.
+        // This swap and the one in `wait` have a total order, so it cannot happen that the producer misses the flag and
+        // the consumer misses the item.
         if self.0.waiting.swap(false, Ordering::SeqCst) {
             self.0.notify.notify_one();
         }
     }
 
-    /// Waits until a producer raises the signal, or returns at once if `ready` finds an item.
+    /// Waits until a producer raises the signal, or returns immediately if `ready` returns true.
+    ///
+    /// `ready` must check all rings of the consumer for items.
     pub async fn wait(&self, ready: impl Fn() -> bool) {
         self.0.waiting.swap(true, Ordering::SeqCst);
         if ready() {
--- a/crates/ring/tests/wake.rs
+++ b/crates/ring/tests/wake.rs
@@ -1,4 +1,4 @@
-//! Rings and the wake-up of their consumer.
+//! Transfer of items through rings and wake-up of the consumer.
 
 use sassafrascrank_ring::{
     Sender,
@@ -10,7 +10,7 @@
 /// Items that each producer sends.
 const ITEMS: u64 = 20_000;
 
-/// Sends numbers through a ring that is full most of the time.
+/// Sends consecutive numbers through a ring that is full most of the time.
 fn produce(mut sender: Sender<u64>) {
     for mut item in 1..=ITEMS {
         while let Err(full) = sender.send(item) {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Guards against a wake-up that is lost between the consumer's look at its rings and its wait: the test then hangs.
+/// Guards against a wake-up that is lost between the consumer's check of its rings and its wait; the test then hangs.
 #[test]
 fn a_consumer_of_several_rings_gets_every_item_in_order() {
     let signal = Signal::new();
@@ -54,7 +54,8 @@
     insta::assert_snapshot!(format!("received {last:?}, in order: {ordered}"));
 }
 
-/// Guards against an item that is lost when its ring is full, and against an end that does not notice the other's.
+/// Guards against an item that is lost when the ring is full, and against a receiver that does not notice that the
+/// sender was dropped.
 #[test]
 fn a_full_ring_gives_the_item_back() {
     let (mut sender, mut receiver) = ring(2, &Signal::new());
