--- a/crates/fleet/src/explain/explain.rs
+++ b/crates/fleet/src/explain/explain.rs
@@ -36,7 +36,7 @@
 /// Records and counts behind the state of a host, or of a pool if `host` is `None`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Explanation {
-    /// The pool.
+    /// Name of the pool.
     pub pool: Name,
     /// Offset of the pool's policy.
     pub policy_offset: u64,
@@ -97,6 +97,7 @@
     Some(explanation)
 }
 
+/// Returns the state of the first pool whose wave is paused or stopped.
 fn find_halt(inventory: &Inventory) -> Option<Progress> {
     if wave::is_running(inventory) {
         return None;
--- a/crates/fleet/src/moves/moves.rs
+++ b/crates/fleet/src/moves/moves.rs
@@ -208,13 +208,13 @@
             .min(rules.drain_limit)
     };
     let hosts = inventory.hosts(pool).map(|(_, host)| host);
-    let free = hosts.filter(|host| {
+    let candidates = hosts.filter(|host| {
         // A host that this draft assigns to its new pool is no longer reserved, but must not be moved again.
-        let before = inventory.pool(pool).map(|pool| &pool.reservation.hosts);
+        let reserved_before = inventory.pool(pool).map(|pool| &pool.reservation.hosts);
         let absent = draft.value.hosts.contains_key(&host.name)
-            || before.is_some_and(|hosts| hosts.contains_key(&host.name));
+            || reserved_before.is_some_and(|hosts| hosts.contains_key(&host.name));
         let fits = || budget::check(inventory, pool, &draft.value, host).is_ok();
         !absent && drain_time(host) <= max_drain && fits()
     });
-    free.min_by_key(|host| drain_time(host))
+    candidates.min_by_key(|host| drain_time(host))
 }
--- a/crates/fleet/src/wave/draft.rs
+++ b/crates/fleet/src/wave/draft.rs
@@ -93,6 +93,7 @@
         }
     }
 
+    /// Returns the proposal, or `None` if nothing was changed.
     pub(crate) fn into_proposal(self, inventory: &Inventory, pool: &Pool) -> Option<Proposal> {
         if self.actions.is_empty() {
             return None;
@@ -111,6 +112,7 @@
         Arc::make_mut(&mut self.value)
     }
 
+    /// Starts the wave with this number and clears the results of the previous one.
     pub(super) fn begin(&mut self, number: u64) {
         self.edit().wave.number = number;
         self.edit().wave.started = self.now;
@@ -151,12 +153,14 @@
         });
     }
 
+    /// Returns a reserved host to service, without maintenance or move.
     pub(crate) fn withdraw(&mut self, host: &Name) {
         self.edit().hosts.remove(host);
         self.edit().moves.remove(host);
         self.actions.push(Action::Withdraw(host.clone()));
     }
 
+    /// Starts to drain a host that moves to `pool`.
     pub(crate) fn leave(&mut self, host: &Name, pool: &Name) {
         self.set_step(host, Step::Draining);
         self.edit().moves.insert(host.clone(), pool.clone());
--- a/crates/fleet/src/wave/forecast.rs
+++ b/crates/fleet/src/wave/forecast.rs
@@ -34,7 +34,7 @@
 /// Forecast for a pool whose wave will not finish before its deadline.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Forecast {
-    /// The pool.
+    /// Name of the pool.
     pub pool: Name,
     /// Offset of the reservation record, 0 if there is none.
     pub offset: u64,
@@ -157,6 +157,7 @@
         .sum()
 }
 
+/// Returns whether the host has exceeded the drain limit with work that cannot be moved.
 fn is_pinned(host: &Host, pool: &Pool, rules: &Rules, now: Time) -> bool {
     let Some(absence) = pool.reservation.hosts.get(&host.name) else {
         return false;
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -36,16 +36,16 @@
         return Vec::new();
     }
     let running = is_running(inventory);
-    let halt = running.then(|| stop::find_stop(inventory, now)).flatten();
+    let new_stop = running.then(|| stop::find_stop(inventory, now)).flatten();
     let planner = Planner {
         inventory,
         rules,
-        running: running && halt.is_none(),
-        stopped: halt.is_some() || is_stopped(inventory),
+        running: running && new_stop.is_none(),
+        stopped: new_stop.is_some() || is_stopped(inventory),
     };
     let pools = inventory.pools();
     pools
-        .filter_map(|(key, _)| planner.plan_pool(key, halt, now))
+        .filter_map(|(key, _)| planner.plan_pool(key, new_stop, now))
         .collect()
 }
 
@@ -63,7 +63,9 @@
 struct Planner<'a> {
     inventory: &'a Inventory,
     rules: &'a Rules,
+    /// Whether new drains may start.
     running: bool,
+    /// Whether the wave has stopped automatically, so that its drains are withdrawn.
     stopped: bool,
 }
 
@@ -71,13 +73,13 @@
     fn plan_pool(
         &self,
         key: pool::Key,
-        halt: Option<(pool::Key, Cause)>,
+        new_stop: Option<(pool::Key, Cause)>,
         now: Time,
     ) -> Option<Proposal> {
         let pool = self.inventory.pool(key)?;
         let mut draft = Draft::new(pool, now);
         self.record_failures(key, &mut draft);
-        if let Some((_, cause)) = halt.filter(|&(stopped, _)| stopped == key) {
+        if let Some((_, cause)) = new_stop.filter(|&(stopped, _)| stopped == key) {
             draft.stop(cause);
         }
         let number = self.rules.wave(now);
@@ -127,6 +129,8 @@
         })
     }
 
+    /// Advances hosts that are out of service: starts their probation after the reboot, and finishes them when they
+    /// have passed it or have exceeded the time limit.
     fn advance_returns(&self, pool: &Pool, draft: &mut Draft) {
         for (name, absence) in absences(draft) {
             let Some(host) = self.find(&name) else {
@@ -177,9 +181,9 @@
                 continue;
             };
             let budget = Budget::new(self.inventory, key, &draft.value);
-            let serves = host.healthy_since().is_some();
+            let in_service = host.healthy_since().is_some();
             let stopped = self.stopped && !draft.value.moves.contains_key(&name);
-            if stopped || (serves && !budget.is_met()) {
+            if stopped || (in_service && !budget.is_met()) {
                 draft.withdraw(&name);
                 continue;
             }
@@ -266,9 +270,10 @@
         .collect()
 }
 
+/// Returns whether the host still has to be maintained in this wave and has not failed.
 fn is_pending(host: &Host, draft: &Draft) -> bool {
     let name = &host.name;
     let value = &draft.value;
-    let idle = !value.hosts.contains_key(name) && !value.finished.contains_key(name);
-    idle && !budget::is_failed(host, value)
+    let unfinished = !value.hosts.contains_key(name) && !value.finished.contains_key(name);
+    unfinished && !budget::is_failed(host, value)
 }
--- a/crates/fleet/src/wave/stop.rs
+++ b/crates/fleet/src/wave/stop.rs
@@ -189,6 +189,7 @@
     Excluded,
 }
 
+/// Returns the group of a host in the newest wave.
 fn classify(pool: &Pool, host: &Host) -> Group {
     let reservation = &pool.reservation;
     match reservation.hosts.get(&host.name) {
--- a/crates/fleet/tests/common/process.rs
+++ b/crates/fleet/tests/common/process.rs
@@ -83,9 +83,9 @@
                 continue;
             };
             for subject in subjects {
-                let held = self.state.get(&subject).unwrap();
+                let revision = self.state.get(&subject).unwrap();
                 self.inventory
-                    .set(&subject, held.offset, &held.value, world.now);
+                    .set(&subject, revision.offset, &revision.value, world.now);
             }
         }
     }
--- a/crates/fleet/tests/common/world.rs
+++ b/crates/fleet/tests/common/world.rs
@@ -48,8 +48,11 @@
     /// Time until its work is complete as the host reports it.
     pub declared: Duration,
     pub reboot: Duration,
+    /// When the work is complete, if the host is draining.
     pub drained_at: Option<Time>,
+    /// When the host becomes healthy, if it is down.
     pub up_at: Option<Time>,
+    /// Whether the host is down because the wave reboots it.
     pub rebooting: bool,
     /// Whether the host fails frequently since its last reboot.
     pub faulty: bool,
@@ -57,7 +60,9 @@
 
 pub struct World {
     pub hosts: Vec<Host>,
+    /// Position in `hosts` by name.
     pub index: BTreeMap<Name, usize>,
+    /// Availability target in percent by pool.
     pub percent: BTreeMap<Name, usize>,
     pub state: State,
     pub log: Vec<Record>,
@@ -171,7 +176,9 @@
             for subject in subjects {
                 match (
                     subject,
-                    self.state.get(subject).map(|held| held.value.clone()),
+                    self.state
+                        .get(subject)
+                        .map(|revision| revision.value.clone()),
                 ) {
                     (Subject::Reservation(pool), _) => {
                         let reservation = self.reservation(pool);
@@ -190,8 +197,8 @@
     }
 
     pub fn reservation(&self, pool: &Name) -> Arc<Reservation> {
-        let held = self.state.get(&Subject::Reservation(pool.clone()));
-        match held.map(|held| &held.value) {
+        let revision = self.state.get(&Subject::Reservation(pool.clone()));
+        match revision.map(|revision| &revision.value) {
             Some(Value::Reservation(reservation)) => reservation.clone(),
             _ => Arc::default(),
         }
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -139,6 +139,7 @@
         seeds,
         declared,
     };
+    // Vanua and Trenzas are the deployments described in the folder `examples`.
     let sizes = [
         size("Vanua", 5, 50, 3, 10, 10, true),
         size("Trenzas", 5, 50, 4, 10, 10, true),
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -132,8 +132,11 @@
     let mut seen = BTreeSet::new();
     for pool in world.percent.keys() {
         for host in world.reservation(pool).hosts.keys() {
-            let held = world.state.get(&Subject::Host(host.clone()));
-            let assigned = matches!(held.map(|held| &held.value), Some(Value::Assignment(theirs)) if theirs.pool == *pool);
+            let revision = world.state.get(&Subject::Host(host.clone()));
+            let assigned = matches!(
+                revision.map(|revision| &revision.value),
+                Some(Value::Assignment(assignment)) if assignment.pool == *pool
+            );
             if !assigned || !seen.insert(host.clone()) {
                 return Some(format!("one-pool: {host} is reserved in {pool}"));
             }
@@ -145,12 +148,12 @@
 impl Run {
     /// Appends a proposal; returns false if the log is down or the answer is lost, so that it must be sent again.
     fn append(&mut self, pending: &Pending) -> bool {
-        let faults = if matches!(self.scenario, Scenario::Log) {
+        let fault_rate_ppm = if matches!(self.scenario, Scenario::Log) {
             330_000
         } else {
             10_000
         };
-        if self.log_down || self.random.chance(faults) {
+        if self.log_down || self.random.chance(fault_rate_ppm) {
             return false;
         }
         let Subject::Reservation(pool) = &pending.proposal.subject else {
@@ -161,16 +164,17 @@
             Verdict::Repeat => self.repeats += 1,
             Verdict::Accepted { .. } => {
                 let after = self.world.reservation(pool);
-                let step = |(host, absence): (&Name, &sassafrascrank_contract::model::Absence)| {
-                    let old = before.hosts.get(host).map(|old| old.step);
-                    old != Some(absence.step) && absence.step != Step::Returning
-                };
-                if after.hosts.iter().any(step) {
+                let leaves_service =
+                    |(host, absence): (&Name, &sassafrascrank_contract::model::Absence)| {
+                        let old = before.hosts.get(host).map(|old| old.step);
+                        old != Some(absence.step) && absence.step != Step::Returning
+                    };
+                if after.hosts.iter().any(leaves_service) {
                     self.drains += 1;
                     let actions = &pending.proposal.actions;
-                    let kept =
+                    let still_failed =
                         |host: &&Name| !actions.contains(&Action::Recovered((*host).clone()));
-                    let failed = before.failed.keys().filter(kept).cloned().collect();
+                    let failed = before.failed.keys().filter(still_failed).cloned().collect();
                     let found = check_budget(&self.world, pool, &pending.known_failures, &failed);
                     self.violation = self.violation.take().or(found);
                 }
@@ -186,7 +190,7 @@
             Verdict::Invalid(_) if self.world.unchecked => {}
             other => panic!("{other:?}"),
         }
-        !self.random.chance(faults)
+        !self.random.chance(fault_rate_ppm)
     }
 
     /// Fails all hosts of a random rack or zone after a third of the schedule.
--- a/crates/ledger/src/state/table.rs
+++ b/crates/ledger/src/state/table.rs
@@ -16,7 +16,7 @@
     pub struct Key;
 }
 
-/// Most tombstones kept. At 1,300 changes a day, all of them removals, a tombstone is kept for three days at most.
+/// Most tombstones kept. At 1,300 changes a day, all of them removals, a tombstone is kept for up to three days.
 pub const TOMBSTONE_LIMIT: usize = 4_096;
 
 /// Tombstones kept when the limit is exceeded. Discarding half of them at once keeps the floor stable for longer; each
