--- a/crates/ledger/src/state/error.rs
+++ b/crates/ledger/src/state/error.rs
@@ -88,7 +88,7 @@
     },
     /// The offsets of a snapshot or peer state contradict each other.
     #[error(
-        "field {field}: offset {offset} lies after through {through}: discard this state and ask another peer"
+        "field {field}: offset {offset} is later than field through of the state, {through}: discard this state and ask another peer"
     )]
     Offset {
         /// Field with the offset.
