--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -172,7 +172,11 @@
         });
     }
 
-    pub(super) fn upsert_upstream(&mut self, configured: &catalog::Upstream, attributes: Attributes) {
+    pub(super) fn upsert_upstream(
+        &mut self,
+        configured: &catalog::Upstream,
+        attributes: Attributes,
+    ) {
         if let Some(known) = self.upstreams.get_mut(configured.key) {
             known.address = configured.address;
             known.attributes = attributes;
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -128,7 +128,9 @@
     for _ in 0..5 {
         let caller = fixture.arrive(0, "alba").unwrap();
         assert_eq!(fixture.poll(), [caller]);
-        fixture.engine.finish(fixture.now, caller, AttemptResult::Lost);
+        fixture
+            .engine
+            .finish(fixture.now, caller, AttemptResult::Lost);
         fixture.poll();
     }
     let refusal = fixture.arrive(0, "alba").unwrap_err();
@@ -156,7 +158,9 @@
     assert_eq!(fixture.poll(), running);
     let queued = fixture.arrive(0, "alba").unwrap();
     for caller in running {
-        fixture.engine.finish(fixture.now, caller, AttemptResult::Lost);
+        fixture
+            .engine
+            .finish(fixture.now, caller, AttemptResult::Lost);
     }
     assert_eq!(fixture.poll(), []);
     fixture.now = fixture.engine.next_wakeup().unwrap();
--- a/crates/schedule/src/engine/poll.rs
+++ b/crates/schedule/src/engine/poll.rs
@@ -78,7 +78,9 @@
         // Short tasks report their progress more often.
         let is_quiet = |run: &run::Key| {
             let run = &self.runs[*run];
-            let lasting = self.step_spec(run.task).is_some_and(|step| step.long_running);
+            let lasting = self
+                .step_spec(run.task)
+                .is_some_and(|step| step.long_running);
             lasting && matches!(run.stage, Stage::Running | Stage::Planned)
         };
         match runner.runs.iter().all(is_quiet) {
