--- a/crates/job/src/id/id.rs
+++ b/crates/job/src/id/id.rs
@@ -1,15 +1,15 @@
-//! Identity of a job, chosen by its caller.
+//! Identity of a job.
 
 use core::fmt;
 
-/// Number of hexadecimal digits.
+/// Number of hexadecimal digits in the text of an identity.
 const DIGITS: usize = 16;
 
-/// Identity of a job: 16 hexadecimal digits.
+/// Identity of a job, chosen by its caller. Its text is 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Id(pub u64);
 
-/// The text is not the identity of a job.
+/// A text is not the identity of a job. It holds the beginning of the text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error("invalid job id {0:?}: use {DIGITS} digits out of 0-9 and a-f")]
--- a/crates/job/src/id/task.rs
+++ b/crates/job/src/id/task.rs
@@ -10,7 +10,7 @@
     pub occurrence: u32,
     /// Step of the job.
     pub step: u16,
-    /// Task of the step.
+    /// Number of the task within the step.
     pub index: u16,
 }
 
@@ -23,13 +23,13 @@
     pub position: Position,
 }
 
-/// The text is not the identity of a task.
+/// A text is not the identity of a task. It holds the beginning of the text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
-#[error("invalid task {0:?}: use ID.OCCURRENCE.STEP.INDEX")]
+#[error("invalid task id {0:?}: use ID.OCCURRENCE.STEP.INDEX")]
 pub struct Error(pub String);
 
-/// Longest quoted text in characters.
+/// Largest number of characters that an error quotes.
 const QUOTE_LIMIT: usize = 60;
 
 impl fmt::Display for Task {
--- a/crates/job/src/lib.rs
+++ b/crates/job/src/lib.rs
@@ -1,7 +1,9 @@
-//! Jobs, their steps and tasks, the records that make them durable, and the fold of these records.
+//! Jobs, their steps and tasks, the log records that store them, and the state that follows from these records.
 //!
-//! The crate decides only. A process folds records into a [`Replica`]; every process that has folded the same records
-//! holds the same book.
+//! The crate does no I/O. Each process applies the records of the log in order to a [`Replica`]; processes that have
+//! applied the same records hold the same state.
+//!
+//! An *entry* is a process that accepts callers' requests. One entry at a time is the leader, which schedules the jobs.
 
 pub mod id;
 pub mod model;
--- a/crates/job/src/model/check.rs
+++ b/crates/job/src/model/check.rs
@@ -5,51 +5,53 @@
     Step, //
 };
 
-/// Longest specification in bytes.
-const SPECIFICATION_LIMIT: usize = 4_000;
-/// Steps of one job.
+/// Longest specification of a job.
+const SPECIFICATION_LIMIT_BYTES: usize = 4_000;
+/// Largest number of steps of a job.
 const STEP_LIMIT: usize = 100;
-/// Tasks of one occurrence; progress of that many fits into one record.
+/// Largest number of tasks in one occurrence. Their progress has to fit into one log record.
 const TASK_LIMIT: usize = 2_000;
-/// Occurrences of one job.
+/// Largest number of occurrences of a job.
 const OCCURRENCE_LIMIT: u32 = 100_000;
 
-/// A job is not allowed.
+/// A submitted job is not allowed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
     /// The specification is too long.
-    #[error("the specification has {0} bytes: shorten it to at most {SPECIFICATION_LIMIT} bytes")]
+    #[error(
+        "the specification has {0} bytes: shorten it to at most {SPECIFICATION_LIMIT_BYTES} bytes"
+    )]
     Specification(usize),
-    /// There is no step or there are too many.
+    /// The job has no step or too many.
     #[error("the job has {0} steps: give 1 to {STEP_LIMIT}")]
     Steps(usize),
-    /// A step has no task or the job has too many.
+    /// A step has no task, or the job has too many.
     #[error(
-        "step {step} makes the job {tasks} tasks wide: give each step at least one task and the job at most {TASK_LIMIT}"
+        "step {step} has no task or brings the job to {tasks} tasks: give each step at least one task and the job at most {TASK_LIMIT}"
     )]
     Tasks {
-        /// Position of the step.
+        /// Position of the step, from 0.
         step: usize,
-        /// Tasks up to and including this step.
+        /// Number of tasks up to and including this step.
         tasks: usize,
     },
-    /// A step waits for itself or for a later one.
+    /// A step depends on itself or on a later one.
     #[error("step {step} waits for step {after}: name only earlier steps")]
     After {
-        /// Position of the step.
+        /// Position of the step, from 0.
         step: usize,
-        /// Step that it names.
+        /// Position of the step that it depends on.
         after: u16,
     },
-    /// Too many occurrences.
+    /// The job has too many occurrences.
     #[error("the job is repeated {0} times: repeat it at most {OCCURRENCE_LIMIT} times")]
     Occurrences(u32),
 }
 
 pub(super) fn check(job: &Job) -> Result<(), Error> {
     let length = job.specification.len();
-    if length > SPECIFICATION_LIMIT {
+    if length > SPECIFICATION_LIMIT_BYTES {
         return Err(Error::Specification(length));
     }
     if job.steps.is_empty() || job.steps.len() > STEP_LIMIT {
--- a/crates/job/src/model/job.rs
+++ b/crates/job/src/model/job.rs
@@ -9,57 +9,60 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// Times at which a job runs again.
+/// Schedule of a job that runs more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Repeat {
     /// Number of occurrences.
     pub count: u32,
-    /// When the first one is due, by the time of day.
+    /// Wall-clock time at which the first occurrence is due.
     pub first: Time,
-    /// Time between two occurrences.
+    /// Time from one due occurrence to the next.
     pub period: Duration,
 }
 
-/// What the configuration said of a queue when a job was submitted. It serves jobs whose queue is removed later.
+/// Settings of a queue at the time when a job was submitted.
+///
+/// They are stored with the job, so that the job can still be scheduled after its queue has been removed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Policy {
     /// Name of the pool whose runners run the tasks.
     pub pool: Arc<str>,
-    /// Urgency; 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Failed attempts of one task after which the job has failed.
+    /// Number of failed attempts of one task after which the whole job fails.
     pub attempts: u16,
-    /// Objective: this many thousandths of the longest chain of work, and [`target`](Self::target) more.
+    /// Objective for the duration of a job, in thousandths of its critical path, to which [`target`](Self::target) is
+    /// added.
     pub stretch: u32,
-    /// Time that the objective adds to the chain of work.
+    /// Constant part of the objective.
     pub target: Duration,
 }
 
 /// A job as its caller submitted it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Job {
-    /// Chosen by the caller.
+    /// Identity, chosen by the caller.
     pub id: Id,
-    /// Name of the queue that it was submitted to.
+    /// Name of the queue that the job was submitted to.
     pub queue: Arc<str>,
-    /// What the configuration said of the queue.
+    /// Settings of the queue when the job was submitted.
     pub policy: Policy,
-    /// Text that is handed to each task.
+    /// Text that is passed to each task.
     pub specification: Arc<str>,
-    /// Steps, each after those that it names.
+    /// Steps; each one names only steps before it as its predecessors.
     pub steps: Arc<[Step]>,
-    /// Occurrences, if the job runs more than once.
+    /// Schedule of the occurrences, if the job runs more than once.
     pub repeat: Option<Repeat>,
-    /// When an entry took it, by that entry's clock.
+    /// When an entry received the job, by the clock of that entry.
     pub submitted: Time,
 }
 
 impl Job {
-    /// Returns the job if it is well-formed.
+    /// Returns the job if it is within the limits and its steps are in order.
     ///
     /// # Errors
     ///
-    /// Names the field that is not allowed.
+    /// Names the value that is not allowed.
     pub fn check(self) -> Result<Self, Error> {
         check::check(&self)?;
         Ok(self)
@@ -80,7 +83,7 @@
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// Returns when an occurrence is due by the time of day, or `None` if it is due at once.
+    /// Returns the wall-clock time at which an occurrence is due, or `None` if it is due at once.
     pub fn due(&self, occurrence: u32) -> Option<Time> {
         self.repeat
             .map(|repeat| repeat.first + repeat.period.saturating_mul(occurrence))
--- a/crates/job/src/model/mod.rs
+++ b/crates/job/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! Jobs as callers submit them, and the checks of a submission.
 
 mod check;
 mod job;
--- a/crates/job/src/model/step.rs
+++ b/crates/job/src/model/step.rs
@@ -1,4 +1,4 @@
-//! A step of a job.
+//! Steps of a job and the resources that their tasks need.
 
 use core::ops::{
     AddAssign,
@@ -6,7 +6,7 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// Amount of each resource of a host.
+/// Amount of each resource that a host has or a task needs.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Resource {
@@ -19,18 +19,18 @@
 }
 
 impl Resource {
-    /// Tells whether `need` fits into what is left of `self` after `used`.
+    /// Tells whether `need` fits into the part of `self` that `used` leaves free.
     pub fn fits(self, used: Self, need: Self) -> bool {
         used.cpu + need.cpu <= self.cpu
             && used.memory + need.memory <= self.memory
             && used.gpu + need.gpu <= self.gpu
     }
 
-    /// Returns the largest share of `self` that `used` takes in any resource.
+    /// Returns the share of `self` that `used` takes, for the resource with the largest share.
     pub fn share(self, used: Self) -> f64 {
-        let share = |used: u64, whole: u64| match whole {
+        let share = |used: u64, total: u64| match total {
             0 => 0.0,
-            whole => used as f64 / whole as f64,
+            total => used as f64 / total as f64,
         };
         share(used.cpu, self.cpu)
             .max(share(used.memory, self.memory))
@@ -54,45 +54,45 @@
     }
 }
 
-/// Equal tasks that may start as soon as the steps before them are done.
+/// Identical tasks that may start as soon as all tasks of the preceding steps are done.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Step {
     /// Number of tasks.
     pub count: u16,
-    /// What each task takes of a host.
+    /// Resources that each task needs.
     pub need: Resource,
-    /// The caller's estimate of a task's duration, often far off.
+    /// The caller's estimate of a task's duration, which may be far off.
     pub estimate: Duration,
-    /// Earlier steps whose tasks must all be done first.
+    /// Positions of the earlier steps whose tasks must all be done first.
     pub after: Box<[u16]>,
-    /// The tasks write checkpoints from which a later attempt resumes.
+    /// The tasks write checkpoints, from which a later attempt resumes.
     pub checkpoints: bool,
-    /// The tasks work only while all of them run.
+    /// The tasks make progress only while all of them run.
     pub gang: bool,
-    /// The tasks are slower if they don't share a rack.
+    /// The tasks are slower if they don't run in the same rack.
     pub coupled: bool,
     /// Label that the runner must have.
     pub label: Option<Box<str>>,
-    /// Rack that holds the data.
+    /// Rack that holds the data of the tasks; other racks are allowed.
     pub data_rack: Option<Box<str>>,
-    /// Most tasks of one occurrence of the step on one runner.
+    /// Largest number of tasks of the step, within one occurrence, on one runner.
     pub max_per_runner: Option<u16>,
-    /// A second attempt may run beside the first one.
+    /// A second attempt of a slow task may run beside the first one.
     pub speculative: bool,
     /// The tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Name of the program that the tasks run; tasks with the same image behave alike.
     pub image: Option<Box<str>>,
-    /// Bound on the tail of the response times of a serving task.
+    /// Largest allowed tail latency of a task that serves requests.
     pub target: Option<Duration>,
-    /// The tasks use processor time that others leave, which is not counted.
+    /// The tasks use only processor time that other tasks leave idle, so none is reserved for them.
     pub uses_spare_cpu: bool,
-    /// Tasks that may be away at the same time because of the system's own actions.
+    /// Number of tasks that the scheduler may take out of service at the same time.
     pub max_unavailable: Option<u16>,
 }
 
 impl Step {
-    /// Returns what a task takes of a runner's capacity.
+    /// Returns the resources that are reserved for a task on its runner.
     pub fn reserved(&self) -> Resource {
         Resource {
             cpu: if self.uses_spare_cpu {
--- a/crates/job/src/progress/mod.rs
+++ b/crates/job/src/progress/mod.rs
@@ -1,4 +1,4 @@
-//! What has become of a job so far.
+//! Progress of a job, as the leader stores it.
 
 mod progress;
 
--- a/crates/job/src/progress/progress.rs
+++ b/crates/job/src/progress/progress.rs
@@ -1,4 +1,4 @@
-//! The durable state of a job.
+//! Progress of a job, as the leader stores it.
 
 use crate::{
     Id,
@@ -12,61 +12,61 @@
 pub enum Outcome {
     /// All tasks are done.
     Done,
-    /// A task failed as often as its queue allows.
+    /// A task has failed as often as the queue allows.
     Failed,
-    /// The caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// The runner that may run an attempt of a task.
+/// An attempt of a task that was ordered at a runner and may still be running there.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Assignment {
     /// Identity of the runner.
     pub runner: Arc<str>,
-    /// Start of this life of the runner.
+    /// Incarnation of the runner; it grows when the runner restarts.
     pub incarnation: u64,
-    /// Host of the runner; a later life there shows that this one is over.
+    /// Host of the runner. A later incarnation of a runner on the host shows that this one has ended.
     pub host: Arc<str>,
-    /// Attempt that was ordered there.
+    /// Number of the attempt.
     pub attempt: u32,
 }
 
-/// The durable state of a task.
+/// Stored state of a task.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Task {
     /// Position within the job.
     pub position: Position,
-    /// It is done.
+    /// The task is done.
     pub done: bool,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failures: u16,
-    /// Last attempt that was ordered.
+    /// Number of the last attempt that was ordered.
     pub attempt: u32,
-    /// Where attempts may run.
+    /// Attempts that may still be running.
     pub assignments: Vec<Assignment>,
-    /// Latest checkpoint, if there is one.
+    /// Latest checkpoint that an attempt reported.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// The whole durable state of a job; a newer one replaces it.
+/// Stored state of a whole job; a newer record replaces it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Progress {
-    /// The job.
+    /// Identity of the job.
     pub id: Id,
     /// Epoch of the leader that wrote it.
     pub epoch: u64,
     /// How the job ended, if it has.
     pub outcome: Option<Outcome>,
-    /// A task has been ordered.
+    /// The start of a task has been ordered.
     pub begun: bool,
-    /// Occurrences below this one are done.
+    /// All occurrences with a lower number are done.
     pub finished: u32,
-    /// Tasks of other occurrences whose state is not the initial one.
+    /// State of the tasks of other occurrences; tasks in their initial state are left out.
     pub tasks: Vec<Task>,
 }
 
 impl Progress {
-    /// Tells whether any attempt may run.
+    /// Tells whether any attempt may still be running.
     pub fn is_active(&self) -> bool {
         self.tasks.iter().any(|task| !task.assignments.is_empty())
     }
--- a/crates/job/src/record/lead.rs
+++ b/crates/job/src/record/leader.rs
@@ -1,4 +1,4 @@
-//! Serialised records of the leader's own state.
+//! Serialised records that only the leader writes, except the progress of jobs.
 
 use super::{
     Demand,
@@ -31,26 +31,26 @@
 }
 
 #[derive(serde::Deserialize, serde::Serialize)]
-pub(super) struct WireOrdered {
+pub(super) struct WireHostOrder {
     epoch: u64,
     /// Microseconds since the Unix epoch.
     at: u64,
 }
 
 #[derive(serde::Deserialize, serde::Serialize)]
-pub(super) struct WireTurn {
+pub(super) struct WirePoolDemand {
     pool: String,
     mean: f64,
     usual: Option<f64>,
-    /// Pool and milliseconds.
+    /// Name of the next pool, and milliseconds from the beginning of this peak to that of the next one.
     next: Option<(String, u64)>,
 }
 
 #[derive(serde::Deserialize, serde::Serialize)]
-pub(super) struct WireTurns {
+pub(super) struct WireDemand {
     epoch: u64,
-    pools: Vec<WireTurn>,
-    /// Pool and microseconds since the Unix epoch.
+    pools: Vec<WirePoolDemand>,
+    /// Name of the pool, and microseconds since the Unix epoch.
     latest: Option<(String, u64)>,
 }
 
@@ -101,21 +101,21 @@
     }
 }
 
-impl From<&Demand> for WireTurns {
-    fn from(turns: &Demand) -> Self {
-        let row = |turn: &PoolDemand| WireTurn {
-            pool: turn.pool.to_string(),
-            mean: turn.mean,
-            usual: turn.usual_hosts,
-            next: turn
+impl From<&Demand> for WireDemand {
+    fn from(demand: &Demand) -> Self {
+        let row = |pool: &PoolDemand| WirePoolDemand {
+            pool: pool.pool.to_string(),
+            mean: pool.mean,
+            usual: pool.usual_hosts,
+            next: pool
                 .next
                 .as_ref()
                 .map(|(pool, after)| (pool.to_string(), millis(*after))),
         };
         Self {
-            epoch: turns.epoch,
-            pools: turns.pools.iter().map(row).collect(),
-            latest: turns
+            epoch: demand.epoch,
+            pools: demand.pools.iter().map(row).collect(),
+            latest: demand
                 .latest
                 .as_ref()
                 .map(|(pool, at)| (pool.to_string(), at.as_micros())),
@@ -123,13 +123,13 @@
     }
 }
 
-impl From<WireTurns> for Demand {
-    fn from(wire: WireTurns) -> Self {
-        let row = |turn: WireTurn| PoolDemand {
-            pool: turn.pool.into(),
-            mean: turn.mean,
-            usual_hosts: turn.usual,
-            next: turn
+impl From<WireDemand> for Demand {
+    fn from(wire: WireDemand) -> Self {
+        let row = |wire: WirePoolDemand| PoolDemand {
+            pool: wire.pool.into(),
+            mean: wire.mean,
+            usual_hosts: wire.usual,
+            next: wire
                 .next
                 .map(|(pool, after)| (pool.into(), Duration::from_millis(after))),
         };
@@ -143,16 +143,16 @@
     }
 }
 
-impl From<&HostOrder> for WireOrdered {
-    fn from(ordered: &HostOrder) -> Self {
+impl From<&HostOrder> for WireHostOrder {
+    fn from(order: &HostOrder) -> Self {
         Self {
-            epoch: ordered.epoch,
-            at: ordered.at.as_micros(),
+            epoch: order.epoch,
+            at: order.at.as_micros(),
         }
     }
 }
 
-impl WireOrdered {
+impl WireHostOrder {
     pub(super) fn with_host(self, host: &str) -> HostOrder {
         HostOrder {
             epoch: self.epoch,
--- a/crates/job/src/record/mod.rs
+++ b/crates/job/src/record/mod.rs
@@ -1,6 +1,6 @@
-//! Records of the log and their serialised form.
+//! Log records and their serialised form.
 
-mod lead;
+mod leader;
 mod record;
 mod wire;
 
--- a/crates/job/src/record/record.rs
+++ b/crates/job/src/record/record.rs
@@ -1,4 +1,4 @@
-//! Records of the log.
+//! Log records.
 
 use crate::{
     Id,
@@ -8,27 +8,27 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// Who schedules.
+/// The entry that leads, that is, schedules the jobs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Leader {
-    /// Grows with each claim; the fence of the leader's orders.
+    /// Epoch, which grows with each claim. It is the fencing token of the leader's orders.
     pub epoch: u64,
     /// Name of the entry.
     pub holder: Arc<str>,
-    /// Start of the entry process, microseconds since the Unix epoch.
+    /// Start of the process in microseconds since the Unix epoch, which tells restarts of an entry apart.
     pub incarnation: u64,
-    /// The leader gives up its role.
+    /// The leader has given up its role.
     pub resigned: bool,
-    /// Until then, runs of earlier leaders may go on at runners that don't answer.
+    /// Until then, attempts that earlier leaders started may go on at runners that don't answer.
     pub runs_until: Time,
-    /// Processor of the entry in thousandths of a core.
+    /// Processor capacity of the entry in thousandths of a core.
     pub capacity: u32,
 }
 
 /// Hosts of a maintenance wave that have begun their maintenance.
 ///
-/// The log holds a record for each host and one for the end of the wave, so that each takes few bytes; the fold joins
-/// them.
+/// The log holds one record for each host and one for the end of the wave, so that each record is small. A replica
+/// joins them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Wave {
     /// Number of the wave.
@@ -37,63 +37,67 @@
     pub epoch: u64,
     /// Names of the hosts.
     pub begun: Vec<Arc<str>>,
-    /// All hosts have begun.
+    /// All hosts of the wave have begun.
     pub done: bool,
 }
 
-/// A host that the leader orders. Each host has a key of its own, so that the log holds the latest order of each and an
-/// order takes few bytes.
+/// An order to a host.
+///
+/// Each host has a key of its own, so that the log keeps the latest order to each host and the record is small.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HostOrder {
     /// Epoch of the leader that wrote it.
     pub epoch: u64,
     /// Name of the host.
     pub host: Arc<str>,
-    /// When it was ordered.
+    /// When the order was written.
     pub at: Time,
 }
 
-/// What a leader has learned of the demand on one pool.
+/// Forecast of the demand on one pool.
+///
+/// A peak is a time in which much more work than usual is submitted to the pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolDemand {
     /// Name of the pool.
     pub pool: Arc<str>,
-    /// Long-run mean of the submitted work, in thousandths of a core.
+    /// Long-run mean of the rate of submitted work, in thousandths of a core.
     pub mean: f64,
-    /// Hosts that its turns usually need.
+    /// Number of hosts that a peak of the pool usually needs; `None` before the end of the first peak.
     pub usual_hosts: Option<f64>,
-    /// The pool whose turn follows, and how long after the beginning of this one.
+    /// The pool whose peak comes next, and the time from the beginning of this pool's peak to the beginning of that
+    /// one.
     pub next: Option<(Arc<str>, Duration)>,
 }
 
-/// What a leader has learned of the demand on the pools.
+/// Forecast of the demand on all pools, which a leader passes on to the next one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Epoch of the leader that wrote it.
     pub epoch: u64,
-    /// One row for each pool.
+    /// Forecast for each pool.
     pub pools: Vec<PoolDemand>,
-    /// The pool whose turn began last, and when.
+    /// The pool whose peak began last, and when.
     pub latest: Option<(Arc<str>, Time)>,
 }
 
-/// One record of the log.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// An entry accepted a job.
     Job(Arc<Job>),
-    /// An entry accepted the cancel of a job.
+    /// An entry accepted the cancellation of a job.
     Cancel(Id),
-    /// The leader writes what has become of a job.
+    /// The leader writes the progress of a job.
     Progress(Arc<Progress>),
-    /// An entry leads from here on.
+    /// An entry claims the lead, confirms it or resigns.
     Leader(Leader),
-    /// The leader writes how far a wave is.
+    /// The leader writes the progress of a wave.
     Wave(Wave),
-    /// The leader writes which hosts it orders, before it does.
+    /// The leader writes the host to which it is about to send an order.
     HostOrder(HostOrder),
-    /// The leader writes what it has learned of the demand.
+    /// The leader writes its forecast of the demand.
     Demand(Demand),
-    /// A job is no longer kept.
+    /// All records of an ended job are removed.
     Forget(Id),
 }
--- a/crates/job/src/record/wire.rs
+++ b/crates/job/src/record/wire.rs
@@ -1,11 +1,17 @@
 //! Serialised records: a text key and a MessagePack value.
+//!
+//! The keys of a job's records are `j`, `c` and `p`, for submission, cancellation and progress, followed by the job's
+//! identity. The key of a wave is `w`, its number, `/` and the name of a host; the name is empty in the record that ends
+//! the wave. The key of an order is `h` and the name of the host. The leader and its forecast of demand have fixed keys.
+//!
+//! Structs are stored as arrays of their fields, so the order of the fields is part of the format.
 
 use super::{
     Record,
-    lead::{
+    leader::{
+        WireDemand,
+        WireHostOrder,
         WireLeader,
-        WireOrdered,
-        WireTurns,
         WireWave, //
     },
 };
@@ -21,7 +27,7 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// A record can't be read.
+/// A record can't be decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
@@ -39,20 +45,22 @@
 }
 
 const LEADER_KEY: &str = "leader";
-const TURNS_KEY: &str = "turns";
+const DEMAND_KEY: &str = "turns";
 
 #[derive(serde::Deserialize, serde::Serialize)]
 struct WireStep {
     count: u16,
     need: Resource,
+    /// Milliseconds.
     estimate: u64,
     after: Vec<u16>,
-    /// Bits in the order of [`FLAGS`].
+    /// Bits, of which [`CHECKPOINTS`] is the first.
     flags: u8,
     label: Option<Box<str>>,
     rack: Option<Box<str>>,
     spread: Option<u16>,
     image: Option<Box<str>>,
+    /// Milliseconds.
     target: Option<u64>,
     may_miss: Option<u16>,
 }
@@ -62,27 +70,30 @@
 const GANG: u8 = 1 << 1;
 const COUPLED: u8 = 1 << 2;
 const SPECULATIVE: u8 = 1 << 3;
-const LASTING: u8 = 1 << 4;
-const FILLS: u8 = 1 << 5;
+const LONG_RUNNING: u8 = 1 << 4;
+const USES_SPARE_CPU: u8 = 1 << 5;
 
 #[derive(serde::Deserialize, serde::Serialize)]
 struct WireJob {
     queue: String,
-    /// Pool, priority, attempts, stretch, target.
+    /// Pool, priority, attempts, stretch in thousandths, target in milliseconds.
     terms: (String, u8, u16, u32, u64),
     specification: String,
     steps: Vec<WireStep>,
+    /// Number of occurrences, first one in milliseconds since the Unix epoch, period in milliseconds.
     repeat: Option<(u32, u64, u64)>,
+    /// Microseconds since the Unix epoch.
     submitted: u64,
 }
 
 #[derive(serde::Deserialize, serde::Serialize)]
 struct WireTask {
+    /// Occurrence, step, index.
     position: (u32, u16, u16),
     done: bool,
     failures: u16,
     attempt: u32,
-    /// Runner, its birth, its host, attempt.
+    /// Runner, its incarnation, its host, attempt.
     assignments: Vec<(String, u64, String, u32)>,
     checkpoint: Option<String>,
 }
@@ -113,16 +124,16 @@
                 pack(&WireWave::from(wave)),
             )
         }
-        Record::HostOrder(ordered) => (
-            format!("h{}", ordered.host),
-            pack(&WireOrdered::from(ordered)),
+        Record::HostOrder(order) => (
+            format!("h{}", order.host),
+            pack(&WireHostOrder::from(order)),
         ),
-        Record::Demand(turns) => (TURNS_KEY.to_owned(), pack(&WireTurns::from(turns))),
+        Record::Demand(demand) => (DEMAND_KEY.to_owned(), pack(&WireDemand::from(demand))),
         Record::Forget(id) => (format!("j{id}"), Vec::new()),
     }
 }
 
-/// Reads a record.
+/// Decodes a record from its key and its value.
 ///
 /// # Errors
 ///
@@ -131,8 +142,8 @@
     if key == LEADER_KEY {
         return Ok(Record::Leader(unpack::<WireLeader>(key, value)?.into()));
     }
-    if key == TURNS_KEY {
-        return Ok(Record::Demand(unpack::<WireTurns>(key, value)?.into()));
+    if key == DEMAND_KEY {
+        return Ok(Record::Demand(unpack::<WireDemand>(key, value)?.into()));
     }
     let unknown = || Error::Key(key.chars().take(40).collect());
     let (kind, name) = key.split_at_checked(1).ok_or_else(unknown)?;
@@ -143,7 +154,7 @@
         return Ok(Record::Wave(wire.with_number(number)));
     }
     if kind == "h" {
-        let wire: WireOrdered = unpack(key, value)?;
+        let wire: WireHostOrder = unpack(key, value)?;
         return Ok(Record::HostOrder(wire.with_host(name)));
     }
     let id = Id::try_from(name).map_err(|_| unknown())?;
@@ -162,13 +173,13 @@
     }
 }
 
-/// Returns the keys under which records of a job are kept.
+/// Returns the keys of all records that the log may hold of a job.
 pub fn keys(id: Id) -> [String; 3] {
     [format!("j{id}"), format!("c{id}"), format!("p{id}")]
 }
 
 fn pack<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Writing into memory fails only for types that MessagePack has no form for; these have one.
+    // Encoding into memory fails only for types that MessagePack cannot represent, and none of these is one.
     rmp_serde::to_vec(value).unwrap_or_default()
 }
 
@@ -195,8 +206,8 @@
                 | bit(step.gang, GANG)
                 | bit(step.coupled, COUPLED)
                 | bit(step.speculative, SPECULATIVE)
-                | bit(step.long_running, LASTING)
-                | bit(step.uses_spare_cpu, FILLS),
+                | bit(step.long_running, LONG_RUNNING)
+                | bit(step.uses_spare_cpu, USES_SPARE_CPU),
             label: step.label.clone(),
             rack: step.data_rack.clone(),
             spread: step.max_per_runner,
@@ -222,10 +233,10 @@
             data_rack: wire.rack,
             max_per_runner: wire.spread,
             speculative: has(SPECULATIVE),
-            long_running: has(LASTING),
+            long_running: has(LONG_RUNNING),
             image: wire.image,
             target: wire.target.map(Duration::from_millis),
-            uses_spare_cpu: has(FILLS),
+            uses_spare_cpu: has(USES_SPARE_CPU),
             max_unavailable: wire.may_miss,
         }
     }
@@ -286,7 +297,7 @@
             step,
             index,
         } = task.position;
-        let place = |at: &Assignment| {
+        let row = |at: &Assignment| {
             let host = at.host.to_string();
             (at.runner.to_string(), at.incarnation, host, at.attempt)
         };
@@ -295,7 +306,7 @@
             done: task.done,
             failures: task.failures,
             attempt: task.attempt,
-            assignments: task.assignments.iter().map(place).collect(),
+            assignments: task.assignments.iter().map(row).collect(),
             checkpoint: task.checkpoint.as_deref().map(str::to_owned),
         }
     }
@@ -304,12 +315,13 @@
 impl From<WireTask> for progress::Task {
     fn from(wire: WireTask) -> Self {
         let (occurrence, step, index) = wire.position;
-        let place = |(runner, born, host, attempt): (String, u64, String, u32)| Assignment {
-            runner: runner.into(),
-            incarnation: born,
-            host: host.into(),
-            attempt,
-        };
+        let assignment =
+            |(runner, incarnation, host, attempt): (String, u64, String, u32)| Assignment {
+                runner: runner.into(),
+                incarnation,
+                host: host.into(),
+                attempt,
+            };
         Self {
             position: Position {
                 occurrence,
@@ -319,7 +331,7 @@
             done: wire.done,
             failures: wire.failures,
             attempt: wire.attempt,
-            assignments: wire.assignments.into_iter().map(place).collect(),
+            assignments: wire.assignments.into_iter().map(assignment).collect(),
             checkpoint: wire.checkpoint.map(Arc::from),
         }
     }
--- a/crates/job/src/replica/entry.rs
+++ b/crates/job/src/replica/entry.rs
@@ -1,4 +1,4 @@
-//! What the book holds of one job.
+//! State of one job in a replica.
 
 use crate::{
     Id,
@@ -10,26 +10,27 @@
 use std::sync::Arc;
 
 slotmap::new_key_type! {
-    /// Identifies a job within one process; it has no meaning outside of it.
+    /// Identifies a job within one replica; other processes use other keys for the same job.
     pub struct Key;
 }
 
-/// What the book holds of one job.
+/// State of one job in a replica.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Identity of the job.
     pub id: Id,
-    /// The job, until it has ended; `None` as long as only other records of it were read.
+    /// The job as it was submitted. `None` before the submission has been read, and after the job has ended and none of
+    /// its attempts may still be running.
     pub job: Option<Arc<Job>>,
-    /// Queue of the job.
+    /// Name of the queue; `None` before the submission has been read.
     pub queue: Option<Arc<str>>,
-    /// Offset of the record that cancelled it.
+    /// Offset of the record that cancelled the job.
     pub cancelled: Option<u64>,
-    /// What has become of it so far.
+    /// Latest progress that the leader has written.
     pub progress: Option<Arc<Progress>>,
-    /// Offset of that record.
+    /// Offset of the record with `progress`.
     pub(super) progress_offset: u64,
-    /// When this process read the end of the job.
+    /// When this process read the record that ended the job.
     pub ended: Option<Time>,
 }
 
@@ -46,13 +47,13 @@
         }
     }
 
-    /// Tells whether a task of the job has been ordered.
+    /// Tells whether the start of any task has been ordered.
     pub fn has_begun(&self) -> bool {
         let progress = self.progress.as_ref();
         progress.is_some_and(|progress| progress.begun)
     }
 
-    /// Returns how the job ended. Of a cancel and an end, the earlier one in the log counts.
+    /// Returns how the job ended. If it was cancelled and also ended by itself, the earlier record in the log counts.
     pub fn outcome(&self) -> Option<Outcome> {
         let progress = self.progress.as_ref();
         let ended = progress.and_then(|progress| progress.outcome);
--- a/crates/job/src/replica/mod.rs
+++ b/crates/job/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The fold of the log's records.
+//! The state that results from applying the log's records in order.
 
 mod entry;
 mod replica;
--- a/crates/job/src/replica/replica.rs
+++ b/crates/job/src/replica/replica.rs
@@ -1,4 +1,4 @@
-//! The fold of the log's records.
+//! State that results from applying the log's records in order.
 
 use super::{
     Entry,
@@ -26,49 +26,49 @@
 /// State of a job as callers see it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// No task has been ordered.
+    /// No start of a task has been ordered.
     Queued,
-    /// A task has been ordered.
+    /// The start of a task has been ordered.
     Running,
     /// The job has ended.
     Ended(Outcome),
 }
 
-/// What a record changed.
+/// What a record has changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing that others have to know.
+    /// Nothing that the caller of [`Replica::apply`] has to act on.
     None,
-    /// A job is known from here on.
+    /// The submission of a job was read.
     Added(Key),
-    /// A job is cancelled.
+    /// A job was cancelled.
     Cancelled(Key),
-    /// The progress of a job.
+    /// The progress of a job changed.
     Progressed(Key),
-    /// The leader or its epoch.
-    Led,
-    /// The progress of a wave.
-    Waved(u64),
-    /// A job was dropped.
-    Forgotten(Id),
+    /// A record of a leader was read.
+    Leader,
+    /// The progress of the wave with this number changed.
+    Wave(u64),
+    /// A job was removed.
+    Removed(Id),
 }
 
-/// The fold of the log's records up to some offset.
+/// State that results from applying the log's records up to some offset, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     jobs: SlotMap<Key, Entry>,
     index: HashMap<Id, Key>,
-    /// Number of jobs by queue of which no task has been ordered.
+    /// Number of pending jobs by queue; see [`is_pending`].
     pending: HashMap<Arc<str>, u64>,
     leader: Option<Leader>,
     waves: BTreeMap<u64, Wave>,
-    /// When each host was last ordered.
+    /// When an order to each host was last written.
     host_orders: HashMap<Arc<str>, Time>,
     demand: Demand,
 }
 
 impl Replica {
-    /// Folds the record at `offset`, which was read at `now`.
+    /// Applies the record at `offset`, which was read at `now`.
     pub fn apply(&mut self, offset: u64, record: Record, now: Time) -> Change {
         match record {
             Record::Job(job) => self.update(job.id, now, |entry| {
@@ -99,7 +99,7 @@
                 if leader.epoch >= known {
                     self.leader = Some(leader);
                 }
-                Change::Led
+                Change::Leader
             }
             Record::Wave(wave) => {
                 let number = wave.number;
@@ -114,7 +114,7 @@
                         known.begun.push(host);
                     }
                 }
-                Change::Waved(number)
+                Change::Wave(number)
             }
             Record::HostOrder(order) => {
                 self.host_orders.insert(order.host, order.at);
@@ -126,22 +126,22 @@
                 }
                 Change::None
             }
-            Record::Forget(id) => self.forget(id),
+            Record::Forget(id) => self.remove(id),
         }
     }
 
-    /// Returns the key of a job whose submission was read.
+    /// Returns the key of a job; `None` unless its submission has been read.
     pub fn find(&self, id: Id) -> Option<Key> {
         let key = *self.index.get(&id)?;
         self.jobs[key].queue.is_some().then_some(key)
     }
 
-    /// Returns a job.
+    /// Returns the state of the job with a key.
     pub fn get(&self, key: Key) -> Option<&Entry> {
         self.jobs.get(key)
     }
 
-    /// Returns all jobs.
+    /// Returns all jobs, also those whose submission has not been read yet.
     pub fn jobs(&self) -> impl Iterator<Item = (Key, &Entry)> {
         self.jobs.iter()
     }
@@ -156,32 +156,32 @@
         })
     }
 
-    /// Returns the number of a queue's jobs of which no task has been ordered.
+    /// Returns the number of jobs in a queue of which no task has been started.
     pub fn pending(&self, queue: &str) -> u64 {
         self.pending.get(queue).copied().unwrap_or_default()
     }
 
-    /// Returns the newest leader.
+    /// Returns the leader with the highest epoch.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// Returns how far the waves are, by number.
+    /// Returns the progress of the maintenance waves, by number.
     pub fn waves(&self) -> &BTreeMap<u64, Wave> {
         &self.waves
     }
 
-    /// Returns when leaders last ordered each host.
+    /// Returns when leaders last wrote an order to each host.
     pub fn host_orders(&self) -> &HashMap<Arc<str>, Time> {
         &self.host_orders
     }
 
-    /// Returns what the latest leader had learned of the demand.
+    /// Returns the forecast of demand that the latest leader has written.
     pub fn demand(&self) -> &Demand {
         &self.demand
     }
 
-    /// Returns jobs whose end was read before `limit`, at most `count`.
+    /// Returns up to `count` jobs whose end was read before `limit`.
     pub fn expired(&self, limit: Time, count: usize) -> Vec<Id> {
         let old = |entry: &&Entry| entry.ended.is_some_and(|ended| ended < limit);
         let ids = self.jobs.values().filter(old).map(|entry| entry.id);
@@ -198,6 +198,8 @@
         self.jobs.is_empty()
     }
 
+    /// Applies `change` to a job, and updates the values that are derived from it. The key in the result of `change` is
+    /// replaced by that of the job.
     fn update(&mut self, id: Id, now: Time, change: impl FnOnce(&mut Entry) -> Change) -> Change {
         let jobs = &mut self.jobs;
         let key = *self
@@ -205,22 +207,22 @@
             .entry(id)
             .or_insert_with(|| jobs.insert(Entry::new(id)));
         let entry = &mut self.jobs[key];
-        let before = waits(entry);
+        let pending_before = is_pending(entry);
         let change = change(entry);
-        let after = waits(entry);
+        let pending = is_pending(entry);
         if entry.ended.is_none() && entry.outcome().is_some() {
             entry.ended = Some(now);
         }
         let active = |progress: &Arc<Progress>| progress.is_active();
         if entry.ended.is_some() && !entry.progress.as_ref().is_some_and(active) {
-            // No run of the job is left that would have to be stopped.
+            // No attempt is left that the scheduler would have to stop, so the submission is no longer needed.
             entry.job = None;
         }
         if let Some(queue) = &entry.queue
-            && before != after
+            && pending_before != pending
         {
             let count = self.pending.entry(Arc::clone(queue)).or_default();
-            *count = match after {
+            *count = match pending {
                 true => *count + 1,
                 false => count.saturating_sub(1),
             };
@@ -233,20 +235,20 @@
         }
     }
 
-    fn forget(&mut self, id: Id) -> Change {
+    fn remove(&mut self, id: Id) -> Change {
         if let Some(key) = self.index.remove(&id)
             && let Some(entry) = self.jobs.remove(key)
-            && waits(&entry)
+            && is_pending(&entry)
             && let Some(queue) = &entry.queue
             && let Some(count) = self.pending.get_mut(queue)
         {
             *count = count.saturating_sub(1);
         }
-        Change::Forgotten(id)
+        Change::Removed(id)
     }
 }
 
-/// Tells whether the job counts as pending.
-fn waits(entry: &Entry) -> bool {
+/// Tells whether the job is pending: it was submitted, no task has been started, and it has not ended.
+fn is_pending(entry: &Entry) -> bool {
     entry.queue.is_some() && !entry.has_begun() && entry.outcome().is_none()
 }
