--- a/crates/control/src/control/control.rs
+++ b/crates/control/src/control/control.rs
@@ -24,7 +24,7 @@
 use sassafrascrank_lead::{
     Seat,
     Timing,
-    seat::Heard, //
+    election::Heard, //
 };
 use sassafrascrank_schedule::{
     Config, Engine,
--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -10,7 +10,7 @@
     Record,
     record::Leader, //
 };
-use sassafrascrank_lead::seat;
+use sassafrascrank_lead::election;
 use sassafrascrank_schedule::{
     Engine,
     Order,
@@ -62,9 +62,9 @@
     pub(super) fn advance_leadership(&mut self, wall: Time, now: Time) {
         if self.jobs_read && self.config.is_some() {
             match self.seat.claim(now) {
-                seat::Claim::Wait => {}
-                seat::Claim::Look => self.out.requests.push(store::Request::Refresh),
-                seat::Claim::Append(epoch) => self.claim(epoch, now),
+                election::Claim::Wait => {}
+                election::Claim::Look => self.out.requests.push(store::Request::Refresh),
+                election::Claim::Append(epoch) => self.claim(epoch, now),
             }
         }
         let ready = |claim: &Claim| {
--- a/crates/lead/src/seat/seat.rs
+++ b/crates/lead/src/election/election.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Timing,
-    rules::OUTRANKS, //
+    timing::OUTRANKS, //
 };
 use sassafrascrank_base::prelude::*;
 
--- a/crates/lead/src/seat/mod.rs
+++ b/crates/lead/src/election/mod.rs
@@ -1,12 +1,12 @@
 //! The seat of the leader, as one entry sees it.
 
-mod rules;
-mod seat;
+mod election;
+mod timing;
 
-pub use rules::Timing;
-pub use seat::{
+pub use election::{
     Claim,
     Heard,
     Role,
     Seat, //
 };
+pub use timing::Timing;
--- a/crates/lead/tests/seat.rs
+++ b/crates/lead/tests/election.rs
@@ -3,7 +3,7 @@
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_lead::{
     Seat, Timing,
-    seat::{
+    election::{
         Claim,
         Heard, //
     },
