--- a/crates/control/src/control/control.rs
+++ b/crates/control/src/control/control.rs
@@ -22,9 +22,9 @@
     },
 };
 use sassafrascrank_lead::{
-    Seat,
+    Election,
     Timing,
-    election::Heard, //
+    election::Observation, //
 };
 use sassafrascrank_schedule::{
     Config, Engine,
@@ -71,7 +71,7 @@
 pub struct Control {
     pub(super) identity: Identity,
     pub(super) book: Replica,
-    pub(super) seat: Seat,
+    pub(super) election: Election,
     pub(super) claim: Option<Claim>,
     pub(super) engine: Option<Engine>,
     pub(super) rules: sassafrascrank_schedule::Rules,
@@ -110,18 +110,18 @@
     /// Makes the state of a process that has read nothing.
     pub fn new(
         identity: Identity,
-        lead: Timing,
+        timing: Timing,
         rules: sassafrascrank_schedule::Rules,
         retention: Duration,
         now: Time,
     ) -> Self {
         let name = Id(identity.incarnation).0 ^ sassafrascrank_base::hash::text(&identity.name);
-        let place = sassafrascrank_base::hash::mix(name);
-        let seat = Seat::new(lead, place, identity.capacity, now);
+        let identity_hash = sassafrascrank_base::hash::mix(name);
+        let election = Election::new(timing, identity_hash, identity.capacity, now);
         Self {
             identity,
             book: Replica::default(),
-            seat,
+            election,
             claim: None,
             engine: None,
             rules,
@@ -227,7 +227,7 @@
     /// Notes that everything was read that the log held at `started`.
     fn take_end(&mut self, started: Time, now: Time) {
         self.read_at = now;
-        self.seat.read(true, started, now);
+        self.election.record_read(true, started, now);
         self.set_reachable(true, now);
         self.answer_reads(started);
     }
@@ -235,11 +235,11 @@
     /// Notes a record by a leader.
     fn hear(&mut self, record: &Record, now: Time) {
         let heard = match record {
-            Record::Leader(leader) => Heard {
+            Record::Leader(leader) => Observation {
                 epoch: leader.epoch,
                 capacity: leader.capacity,
                 resigned: leader.resigned,
-                own_past: leader.holder == self.identity.name
+                earlier_incarnation: leader.holder == self.identity.name
                     && leader.incarnation != self.identity.incarnation,
             },
             Record::Progress(progress) => self.heard_epoch(progress.epoch),
@@ -252,19 +252,19 @@
         if own == 0 || heard.epoch < own {
             self.predecessor_heard = now;
         }
-        if self.seat.hear(heard, now) {
+        if self.election.observe(heard, now) {
             self.lose_role("higher-epoch", now);
         }
     }
 
     /// Returns what a record says that names only the epoch of its writer.
-    fn heard_epoch(&self, epoch: u64) -> Heard {
+    fn heard_epoch(&self, epoch: u64) -> Observation {
         let leader = self.book.leader().filter(|leader| leader.epoch == epoch);
-        Heard {
+        Observation {
             epoch,
             capacity: leader.map_or(0, |leader| leader.capacity),
             resigned: leader.is_some_and(|leader| leader.resigned),
-            own_past: leader.is_some_and(|leader| {
+            earlier_incarnation: leader.is_some_and(|leader| {
                 leader.holder == self.identity.name
                     && leader.incarnation != self.identity.incarnation
             }),
@@ -306,7 +306,7 @@
                 self.out.events.push(event);
                 if self.config.is_none() {
                     // All entries learn of the first configuration at once; they don't all claim.
-                    self.seat.wait_from(now);
+                    self.election.restart_wait(now);
                 }
                 if let Some(engine) = &mut self.engine {
                     engine.configure(&config);
@@ -377,7 +377,7 @@
 
     fn take_read_failure(&mut self, topic: Topic, now: Time) {
         if topic == Topic::Jobs {
-            self.seat.read(false, now, now);
+            self.election.record_read(false, now, now);
             self.set_reachable(false, now);
         }
     }
--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -61,9 +61,9 @@
     /// Claims, or begins to lead once everything needed has been read.
     pub(super) fn advance_leadership(&mut self, wall: Time, now: Time) {
         if self.jobs_read && self.config.is_some() {
-            match self.seat.claim(now) {
+            match self.election.claim(now) {
                 election::Claim::Wait => {}
-                election::Claim::Look => self.out.requests.push(store::Request::Refresh),
+                election::Claim::Refresh => self.out.requests.push(store::Request::Refresh),
                 election::Claim::Append(epoch) => self.claim(epoch, now),
             }
         }
@@ -105,7 +105,7 @@
             jobs: LEADER_PACE,
             runners: true,
         });
-        let silence = now.since(self.seat.heard_at());
+        let silence = now.since(self.election.observed_at());
         let event = Event::new("claim", now)
             .with("epoch", Value::Count(epoch))
             .with("silence", Value::Span(silence));
@@ -175,7 +175,7 @@
 
     /// Lets the scheduler decide, and hands over what it wants stored and done.
     pub(super) fn run_engine(&mut self, wall: Time, now: Time) {
-        let may_order = self.seat.may_order(now) && !self.stopping;
+        let may_order = self.election.may_order(now) && !self.stopping;
         let Some(engine) = &mut self.engine else {
             return;
         };
@@ -212,13 +212,13 @@
         if self.writing || now < self.wrote + WRITE_PACE {
             return;
         }
-        let Some(epoch) = self.seat.leading() else {
+        let Some(epoch) = self.election.leading() else {
             return;
         };
         let records = self.engine.as_mut().and_then(|engine| engine.cut());
         let records = match records {
             Some(records) => records,
-            None if self.seat.is_pulse_due(now) => {
+            None if self.election.is_heartbeat_due(now) => {
                 let old = self.book.expired(now - self.retention, FORGET_LIMIT);
                 let mut records = vec![self.leader_record(epoch, false)];
                 records.extend(old.into_iter().map(Record::Forget));
@@ -252,11 +252,11 @@
             && !claim.stored
         {
             claim.stored = true;
-            self.seat.claimed(epoch, started);
+            self.election.claim_confirmed(epoch, started);
             return;
         }
         self.writing = false;
-        self.seat.confirm(started);
+        self.election.append_confirmed(started);
         if let Some(engine) = &mut self.engine {
             engine.stored(now);
         }
@@ -267,7 +267,7 @@
         let event = Event::new("role-lost", now).with("reason", Value::Word(reason));
         self.out.events.push(event);
         self.flush_notes(now);
-        self.seat.step_down(now);
+        self.election.step_down(now);
         self.follow();
     }
 
@@ -290,7 +290,7 @@
         self.stopping = true;
         self.out.events.push(Event::new("stopping", now));
         self.flush_notes(now);
-        let Some(epoch) = self.seat.retire() else {
+        let Some(epoch) = self.election.retire() else {
             return;
         };
         let mut records = match &mut self.engine {
--- a/crates/lead/src/election/election.rs
+++ b/crates/lead/src/election/election.rs
@@ -1,23 +1,24 @@
-//! When an entry claims, and when a leader may order.
+//! When an entry claims the lead, and for how long a leader may send orders.
 
 use super::{
     Timing,
-    timing::OUTRANKS, //
+    timing::REPLACE_RATIO, //
 };
 use sassafrascrank_base::prelude::*;
 
-/// Low bits of an epoch, which differ between the claims of two entries in the same round.
-const ROUND_SHIFT: u32 = 16;
+/// Number of low bits of an epoch that come from the identity of the entry, so that two claims in the same round have
+/// different epochs.
+const TIE_BREAK_BITS: u32 = 16;
 
-/// Thousandths of a core in a whole one.
-const WHOLE: u32 = 1_000;
+/// Capacity of a whole core in thousandths of a core.
+const WHOLE_CORE: u32 = 1_000;
 
-/// Part of an entry in the leadership.
+/// Role of an entry in the election.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// Another entry leads, or none.
+    /// Another entry leads, or none does.
     Follower,
-    /// A claim is on its way.
+    /// This entry has claimed the lead, and the append of the claim is not confirmed.
     Candidate {
         /// Epoch of the claim.
         epoch: u64,
@@ -29,77 +30,80 @@
     },
 }
 
-/// What an entry does about a claim.
+/// What an entry has to do about a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Claim {
-    /// No claim is due.
+    /// Nothing; no claim is due yet.
     Wait,
-    /// A claim is due unless the log holds that of another entry: the log has to be read at once.
-    Look,
-    /// A claim of this epoch has to be appended.
+    /// Read the log at once: a claim is due unless another entry has claimed meanwhile.
+    Refresh,
+    /// Append a claim with this epoch.
     Append(u64),
 }
 
-/// A record by a leader, as it was read.
+/// What a record by a leader, read from the log, says about its writer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Heard {
-    /// Epoch of its writer.
+pub struct Observation {
+    /// Epoch of the writer.
     pub epoch: u64,
-    /// Processor of the writer in thousandths of a core.
+    /// Processor capacity of the writer in thousandths of a core; 0 if it is unknown.
     pub capacity: u32,
-    /// The writer gave up its role.
+    /// The writer has given up its role.
     pub resigned: bool,
-    /// The writer is an earlier life of this process.
-    pub own_past: bool,
+    /// The writer is an earlier incarnation of this entry, which has ended.
+    pub earlier_incarnation: bool,
 }
 
-/// The seat of the leader, as one entry sees it.
+/// State of the leader election at one entry.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    rules: Timing,
-    /// Differs between processes; breaks ties.
+pub struct Election {
+    timing: Timing,
+    /// Differs between processes. It sets the delay within the stagger and the low bits of epochs.
     identity: u64,
-    /// Processor of this entry in thousandths of a core.
+    /// Processor capacity of this entry in thousandths of a core.
     capacity: u32,
     role: Role,
-    heard: Option<Heard>,
-    heard_at: Time,
-    /// When the latest epoch was first heard.
-    led_since: Time,
-    /// Start of the current stretch of successful reads.
+    /// Latest record by a leader.
+    latest: Option<Observation>,
+    /// When a record of a leader was last read, or this entry last stepped down; see [`Self::observed_at`].
+    observed_at: Time,
+    /// When the latest epoch was first observed.
+    leader_since: Time,
+    /// Start of the first of the successful reads since the last failure or long pause.
     reading_since: Option<Time>,
-    read_at: Time,
+    /// End of the last successful read.
+    last_read: Time,
     /// Start of the last confirmed append of this leader.
-    confirmed: Time,
-    /// Since when a claim is due.
-    due: Option<Time>,
+    confirmed_at: Time,
+    /// Since when a claim is due; set when the read before the claim is requested.
+    due_since: Option<Time>,
     /// Highest epoch of this entry that the log or a runner has rejected.
-    rejected: u64,
+    rejected_epoch: u64,
     /// The entry is ending and doesn't claim.
     retired: bool,
 }
 
-impl Seat {
-    /// Makes the seat of a process that has read nothing yet.
-    pub fn new(rules: Timing, identity: u64, capacity: u32, now: Time) -> Self {
+impl Election {
+    /// Creates the state of a process that has read nothing yet.
+    pub fn new(timing: Timing, identity: u64, capacity: u32, now: Time) -> Self {
         Self {
-            rules,
+            timing,
             identity,
             capacity,
             role: Role::Follower,
-            heard: None,
-            heard_at: now,
-            led_since: now,
+            latest: None,
+            observed_at: now,
+            leader_since: now,
             reading_since: None,
-            read_at: Time::MIN,
-            confirmed: Time::MIN,
-            due: None,
-            rejected: 0,
+            last_read: Time::MIN,
+            confirmed_at: Time::MIN,
+            due_since: None,
+            rejected_epoch: 0,
             retired: false,
         }
     }
 
-    /// Returns the part of this entry.
+    /// Returns the role of this entry.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -112,42 +116,47 @@
         }
     }
 
-    /// Returns when the last record of any leader was written, at the least.
-    pub fn heard_at(&self) -> Time {
-        self.heard_at
+    /// Returns when a record of a leader was last read, or this entry last stepped down. Records that are read first
+    /// after an outage of the log may have been written before it, so they count from the last read before the outage.
+    pub fn observed_at(&self) -> Time {
+        self.observed_at
     }
 
-    /// Takes the result of a read of the log, which started at `started`.
-    pub fn read(&mut self, success: bool, started: Time, now: Time) {
+    /// Records the result of a read of the log that started at `started` and ended at `now`.
+    pub fn record_read(&mut self, success: bool, started: Time, now: Time) {
         if !success {
             self.reading_since = None;
         } else {
             self.reading_since.get_or_insert(started);
-            self.read_at = now;
+            self.last_read = now;
         }
     }
 
-    /// Waits from `now` on before a claim, since this entry could not have led before.
-    pub fn wait_from(&mut self, now: Time) {
+    /// Counts the delay before a claim from `now` on, for an entry that could not have led before.
+    pub fn restart_wait(&mut self, now: Time) {
         self.reading_since = self.reading_since.map(|since| since.max(now));
     }
 
-    /// Takes a record by a leader. Returns whether this entry has lost its role.
-    pub fn hear(&mut self, heard: Heard, now: Time) -> bool {
-        let known = self.heard.map_or(0, |known| known.epoch);
-        if heard.epoch < known {
+    /// Records what was read of a leader. Returns whether this entry has lost its role or its claim by it.
+    pub fn observe(&mut self, observation: Observation, now: Time) -> bool {
+        let known = self.latest.map_or(0, |known| known.epoch);
+        if observation.epoch < known {
             return false;
         }
-        if heard.epoch > known {
-            self.led_since = now;
-            self.due = None;
+        if observation.epoch > known {
+            self.leader_since = now;
+            self.due_since = None;
         }
-        self.heard = Some(heard);
-        // After an outage the first records are from before it, as far as is known.
-        let away = self.read_at > Time::MIN && now.since(self.read_at) > self.rules.lease;
-        self.heard_at = self.heard_at.max(if away { self.read_at } else { now });
+        self.latest = Some(observation);
+        // The records that are read first after an outage of the log may have been written before it, so they don't show
+        // that the leader is alive.
+        let after_outage =
+            self.last_read > Time::MIN && now.since(self.last_read) > self.timing.lease;
+        self.observed_at = self
+            .observed_at
+            .max(if after_outage { self.last_read } else { now });
         match self.role {
-            Role::Leader { epoch } | Role::Candidate { epoch } if heard.epoch > epoch => {
+            Role::Leader { epoch } | Role::Candidate { epoch } if observation.epoch > epoch => {
                 self.role = Role::Follower;
                 true
             }
@@ -155,68 +164,73 @@
         }
     }
 
-    /// Returns whether a claim has to be appended now. Before one, the entry has to look at the log once more.
+    /// Returns what has to be done about a claim now. Before each claim the log has to be read once more, since another
+    /// entry may have claimed.
     pub fn claim(&mut self, now: Time) -> Claim {
-        if !self.is_due(now) {
-            self.due = None;
+        if !self.is_claim_due(now) {
+            self.due_since = None;
             return Claim::Wait;
         }
-        match self.due {
+        match self.due_since {
             None => {
-                self.due = Some(now);
-                return Claim::Look;
+                self.due_since = Some(now);
+                return Claim::Refresh;
             }
-            Some(due) if now < due + self.rules.look => return Claim::Wait,
-            Some(_) => self.due = None,
+            Some(since) if now < since + self.timing.refresh_wait => return Claim::Wait,
+            Some(_) => self.due_since = None,
         }
-        let round = self.heard.map_or(0, |heard| heard.epoch >> ROUND_SHIFT) + 1;
-        let low = self.identity & ((1 << ROUND_SHIFT) - 1);
-        let epoch = (round << ROUND_SHIFT) | low;
+        let round = self
+            .latest
+            .map_or(0, |leader| leader.epoch >> TIE_BREAK_BITS)
+            + 1;
+        let tie_break = self.identity & ((1 << TIE_BREAK_BITS) - 1);
+        let epoch = (round << TIE_BREAK_BITS) | tie_break;
         self.role = Role::Candidate { epoch };
         Claim::Append(epoch)
     }
 
-    /// Tells whether nobody leads, or a much smaller entry, for as long as this entry waits.
-    fn is_due(&mut self, now: Time) -> bool {
+    /// Tells whether no leader was observed for the delay of this entry, or a leader with much less processor capacity
+    /// has led for long enough to be replaced.
+    fn is_claim_due(&mut self, now: Time) -> bool {
         if self.retired || self.role != Role::Follower {
             return false;
         }
         let Some(since) = self.reading_since else {
             return false;
         };
-        if now.since(self.read_at) > self.rules.freshness {
-            // A pause of the process, or of the log, is no silence of the leader.
+        if now.since(self.last_read) > self.timing.max_read_age {
+            // After a pause of this process or of the log, the leader may have written records that were not read yet.
             self.reading_since = None;
             return false;
         }
-        let start = since.max(self.heard_at);
-        let away = since > self.heard_at + self.rules.lease;
-        now >= start + self.patience(away) || self.outranks(since, now)
+        let start = since.max(self.observed_at);
+        let after_outage = since > self.observed_at + self.timing.lease;
+        now >= start + self.claim_delay(after_outage) || self.replaces_leader(since, now)
     }
 
-    /// Takes the confirmation of the claim, whose append started at `started`.
-    pub fn claimed(&mut self, epoch: u64, started: Time) {
+    /// Begins to lead: the log has confirmed the claim, whose append started at `started`.
+    pub fn claim_confirmed(&mut self, epoch: u64, started: Time) {
         if self.role == (Role::Candidate { epoch }) {
             self.role = Role::Leader { epoch };
-            self.confirmed = started;
+            self.confirmed_at = started;
         }
     }
 
-    /// Takes the confirmation of another append of this leader, which started at `started`.
-    pub fn confirm(&mut self, started: Time) {
-        self.confirmed = self.confirmed.max(started);
+    /// Extends the lease: the log has confirmed another append of this leader, which started at `started`.
+    pub fn append_confirmed(&mut self, started: Time) {
+        self.confirmed_at = self.confirmed_at.max(started);
     }
 
-    /// Gives up a role or a claim, because the log or a runner knows a higher epoch or the claim failed.
+    /// Gives up the lead or a claim, because the log or a runner knows a higher epoch or the claim failed.
     pub fn step_down(&mut self, now: Time) {
         if let Role::Leader { epoch } | Role::Candidate { epoch } = self.role {
-            self.rejected = self.rejected.max(epoch);
+            self.rejected_epoch = self.rejected_epoch.max(epoch);
         }
         self.role = Role::Follower;
-        self.heard_at = self.heard_at.max(now);
+        self.observed_at = self.observed_at.max(now);
     }
 
-    /// Stops claiming, because the process ends. Returns the epoch to resign from.
+    /// Stops taking part, because the process ends. Returns the epoch to resign from if this entry leads.
     pub fn retire(&mut self) -> Option<u64> {
         self.retired = true;
         let epoch = self.leading();
@@ -224,64 +238,71 @@
         epoch
     }
 
-    /// Tells whether a leader may order and renew leases.
+    /// Tells whether this entry leads and may send orders and renew the leases of tasks.
     pub fn may_order(&self, now: Time) -> bool {
-        self.leading().is_some() && now <= self.confirmed + self.rules.lease
+        self.leading().is_some() && now <= self.confirmed_at + self.timing.lease
     }
 
-    /// Tells whether a leader has to append a record, although nothing has changed.
-    pub fn is_pulse_due(&self, now: Time) -> bool {
-        self.leading().is_some() && now >= self.confirmed + self.rules.pulse
+    /// Tells whether this entry leads and has to append a record even if nothing has changed.
+    pub fn is_heartbeat_due(&self, now: Time) -> bool {
+        self.leading().is_some() && now >= self.confirmed_at + self.timing.heartbeat
     }
 
-    /// Returns the time of silence after which this entry claims. The log was `away` for longer than a tenure.
-    fn patience(&self, away: bool) -> Duration {
-        let wait = self.stagger() + self.courtesy();
-        match self.heard {
-            _ if self.is_behind() => self.rules.silence + wait,
-            // No other process can lead with the epoch of this process's earlier life.
-            Some(heard) if heard.own_past => Duration::ZERO,
-            Some(heard) if heard.resigned => wait / 2,
-            None => wait + self.deference(),
-            Some(_) if away => self.rules.regained + wait,
-            Some(_) => self.rules.silence + wait,
+    /// Returns the time without a record of a leader after which this entry claims. `after_outage` tells whether the log
+    /// was unavailable for longer than a lease.
+    fn claim_delay(&self, after_outage: bool) -> Duration {
+        let wait = self.stagger() + self.smaller_entry_delay();
+        match self.latest {
+            _ if self.awaits_higher_epoch() => self.timing.election_timeout + wait,
+            // An earlier incarnation of this entry has ended, and no other process can lead with its epoch.
+            Some(leader) if leader.earlier_incarnation => Duration::ZERO,
+            Some(leader) if leader.resigned => wait / 2,
+            None => wait + self.first_start_delay(),
+            Some(_) if after_outage => self.timing.recovery_timeout + wait,
+            Some(_) => self.timing.election_timeout + wait,
         }
     }
 
-    /// Tells whether this entry replaces a leader because it has much more processor. The log has been read `since`.
-    fn outranks(&self, since: Time, now: Time) -> bool {
-        let settled = since.max(self.led_since) + self.rules.settling + self.stagger();
+    /// Tells whether this entry replaces the leader because it has much more processor capacity. Reads of the log have
+    /// succeeded since `since`.
+    fn replaces_leader(&self, since: Time, now: Time) -> bool {
+        let settled = since.max(self.leader_since) + self.timing.replace_delay + self.stagger();
         now >= settled
-            && !self.is_behind()
-            && self.heard.is_some_and(|heard| {
-                heard.capacity > 0 && self.capacity >= heard.capacity.saturating_mul(OUTRANKS)
+            && !self.awaits_higher_epoch()
+            && self.latest.is_some_and(|leader| {
+                leader.capacity > 0
+                    && self.capacity >= leader.capacity.saturating_mul(REPLACE_RATIO)
             })
     }
 
-    /// Tells whether an epoch above one of this entry exists of which no record was read yet. Its holder is about to
-    /// lead, so reasons to claim at once no longer hold.
-    fn is_behind(&self) -> bool {
-        self.rejected > 0 && self.heard.is_none_or(|heard| heard.epoch <= self.rejected)
+    /// Tells whether an epoch of this entry was rejected in favour of a higher one of which no record was read yet. The
+    /// other entry is about to lead, so reasons to claim without the full delay no longer hold.
+    fn awaits_higher_epoch(&self) -> bool {
+        self.rejected_epoch > 0
+            && self
+                .latest
+                .is_none_or(|leader| leader.epoch <= self.rejected_epoch)
     }
 
-    /// Returns the time that this entry leaves to others of the size of the latest leader, if it is much smaller.
-    fn courtesy(&self) -> Duration {
-        let larger = |heard: Heard| heard.capacity >= self.capacity.saturating_mul(OUTRANKS);
-        match self.heard.is_some_and(larger) {
-            true => self.rules.courtesy,
+    /// Returns the additional delay of an entry with much less processor capacity than the latest leader.
+    fn smaller_entry_delay(&self) -> Duration {
+        let larger =
+            |leader: Observation| leader.capacity >= self.capacity.saturating_mul(REPLACE_RATIO);
+        match self.latest.is_some_and(larger) {
+            true => self.timing.smaller_entry_delay,
             false => Duration::ZERO,
         }
     }
 
-    /// Returns the part of the spread of claims that falls on this entry.
+    /// Returns the delay of this entry within the range of [`Timing::stagger`].
     fn stagger(&self) -> Duration {
-        let place = (self.identity >> 48) as f64 / 65_536.0;
-        self.rules.stagger.mul_f64(place)
+        let fraction = (self.identity >> 48) as f64 / 65_536.0;
+        self.timing.stagger.mul_f64(fraction)
     }
 
-    /// Returns the time for which this entry waits longer than a whole core at the first start.
-    fn deference(&self) -> Duration {
-        let missing = WHOLE.saturating_sub(self.capacity);
-        self.rules.deference * missing / WHOLE
+    /// Returns the additional delay of an entry with less than a whole core at the first start of a deployment.
+    fn first_start_delay(&self) -> Duration {
+        let missing = WHOLE_CORE.saturating_sub(self.capacity);
+        self.timing.first_start_delay * missing / WHOLE_CORE
     }
 }
--- a/crates/lead/src/election/mod.rs
+++ b/crates/lead/src/election/mod.rs
@@ -1,12 +1,12 @@
-//! The seat of the leader, as one entry sees it.
+//! Leader election, as one entry takes part in it.
 
 mod election;
 mod timing;
 
 pub use election::{
     Claim,
-    Heard,
-    Role,
-    Seat, //
+    Election,
+    Observation,
+    Role, //
 };
 pub use timing::Timing;
--- a/crates/lead/src/election/timing.rs
+++ b/crates/lead/src/election/timing.rs
@@ -1,51 +1,56 @@
-//! Times of the leadership.
+//! Durations of the leader election.
 
 use sassafrascrank_base::prelude::*;
 
-/// Times of the leadership; they are equal at all entries of a deployment.
+/// Durations of the leader election; they have to be the same at all entries of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time without a record of the leader, spent reading, after which another entry claims. It has to cover an
-    /// append and a read on a log that is slow: about 0.6 s when its answers take 60 times as long.
-    pub silence: Duration,
-    /// The same time after the log was away for longer than a tenure: a leader that lives appends as soon as it can.
-    pub regained: Duration,
-    /// Time after the start of its last confirmed append for which a leader orders and renews leases.
+    /// Time without a record of the leader, while reads succeed, after which another entry claims the lead. It has to
+    /// cover an append and a read on a slow log, which take about 0.6 s if answers take 60 times as long as usual.
+    pub election_timeout: Duration,
+    /// Replaces `election_timeout` after the log was unavailable for longer than `lease`. It is shorter, because a live
+    /// leader appends as soon as the log is back.
+    pub recovery_timeout: Duration,
+    /// Time after the start of its last confirmed append for which a leader may send orders and renew the leases of
+    /// tasks.
     pub lease: Duration,
-    /// Time after which a leader without other records appends one.
-    pub pulse: Duration,
-    /// Spread of claims, so that entries don't claim at once.
+    /// Time since its last confirmed append after which a leader appends a record even if nothing has changed.
+    pub heartbeat: Duration,
+    /// Range over which the claims of different entries are spread, so that they don't claim at the same time.
     pub stagger: Duration,
-    /// Age of the last successful read up to which the log counts as read.
-    pub freshness: Duration,
-    /// Time for which an entry without any processor would wait longer than one with a whole core at the first start
-    /// of a deployment. Nothing is served yet, so the largest entries can come first.
-    pub deference: Duration,
-    /// Time between the last look at the log and a claim. It covers a read and the append of another claim.
-    pub look: Duration,
-    /// Time for which an entry with half the processor of the latest leader waits longer than others.
-    pub courtesy: Duration,
-    /// Time for which a leader is heard before an entry with twice its processor replaces it.
-    pub settling: Duration,
+    /// Largest age of the last successful read at which an entry may claim.
+    pub max_read_age: Duration,
+    /// Additional delay of an entry at the first start of a deployment, in full without any processor capacity and none
+    /// with a whole core. Nothing is served yet, so there is time for the largest entries to claim first.
+    pub first_start_delay: Duration,
+    /// Time between the last read of the log that is requested before a claim and the claim. It covers a read and the
+    /// append of another entry's claim.
+    pub refresh_wait: Duration,
+    /// Additional delay of an entry with at most half the processor capacity of the latest leader, so that larger entries
+    /// claim first.
+    pub smaller_entry_delay: Duration,
+    /// Time for which a leader has led, as far as this entry has read, before an entry with twice its processor capacity
+    /// replaces it.
+    pub replace_delay: Duration,
 }
 
-/// Multiple of a leader's processor with which an entry replaces it. Leading takes several times the processor that
-/// the other duties do, and a leader that is short of it delays every start.
-pub(super) const OUTRANKS: u32 = 2;
+/// Multiple of the leader's processor capacity with which another entry replaces it. Leading takes several times the
+/// processor time of an entry's other work, and a leader that lacks it delays every start of a task.
+pub(super) const REPLACE_RATIO: u32 = 2;
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            silence: Duration::from_millis(1_500),
-            regained: Duration::from_millis(700),
+            election_timeout: Duration::from_millis(1_500),
+            recovery_timeout: Duration::from_millis(700),
             lease: Duration::from_millis(2_500),
-            pulse: Duration::from_millis(400),
+            heartbeat: Duration::from_millis(400),
             stagger: Duration::from_millis(300),
-            freshness: Duration::from_millis(700),
-            deference: Duration::from_millis(1_000),
-            look: Duration::from_millis(25),
-            courtesy: Duration::from_millis(200),
-            settling: Duration::from_millis(1_000),
+            max_read_age: Duration::from_millis(700),
+            first_start_delay: Duration::from_millis(1_000),
+            refresh_wait: Duration::from_millis(25),
+            smaller_entry_delay: Duration::from_millis(200),
+            replace_delay: Duration::from_millis(1_000),
         }
     }
 }
--- a/crates/lead/tests/election.rs
+++ b/crates/lead/tests/election.rs
@@ -1,55 +1,56 @@
-//! Claims of entries that read the same log.
+//! When entries that read the same log claim the lead.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_lead::{
-    Seat, Timing,
+    Election, Timing,
     election::{
         Claim,
-        Heard, //
+        Observation, //
     },
 };
 use std::fmt::Write;
 
 const START: Time = Time::from_millis(1_000_000);
 /// Time between two reads of the log.
-const READ: Duration = Duration::from_millis(50);
+const READ_INTERVAL: Duration = Duration::from_millis(50);
 
-fn record(epoch: u64, capacity: u32) -> Heard {
-    Heard {
+fn record(epoch: u64, capacity: u32) -> Observation {
+    Observation {
         epoch,
         capacity,
         resigned: false,
-        own_past: false,
+        earlier_incarnation: false,
     }
 }
 
-/// Returns after how many milliseconds an entry of `capacity` claims that hears `heard` until `silent`.
-fn claims(capacity: u32, heard: Option<Heard>, silent: Duration) -> Option<u128> {
-    let mut seat = Seat::new(Timing::default(), 0, capacity, START);
+/// Returns the milliseconds after which an entry with `capacity` claims the lead. It observes `leader` at each read until
+/// `silent_after`.
+fn first_claim(capacity: u32, leader: Option<Observation>, silent_after: Duration) -> Option<u128> {
+    let mut election = Election::new(Timing::default(), 0, capacity, START);
     let mut now = START;
     while now < START + Duration::from_secs(10) {
-        seat.read(true, now, now);
-        if let Some(heard) = heard
-            && now < START + silent
+        election.record_read(true, now, now);
+        if let Some(leader) = leader
+            && now < START + silent_after
         {
-            seat.hear(heard, now);
+            election.observe(leader, now);
         }
-        if let Claim::Append(_) = seat.claim(now) {
+        if let Claim::Append(_) = election.claim(now) {
             return Some(now.since(START).as_millis());
         }
-        now = now + READ;
+        now = now + READ_INTERVAL;
     }
     None
 }
 
-/// Guards against a leader that is left alone although it lacks the processor, against entries of the same size that
-/// take the role from each other, and against a first leader that is a small entry.
+/// Guards against a leader that keeps the role although it lacks processor capacity, against entries of the same size
+/// that take the role from each other, and against a small entry that leads first although larger ones exist.
 #[test]
 fn larger_entries_lead() {
     let forever = Duration::MAX;
     let brief = Duration::from_secs(1);
     let mut table = String::new();
-    for (name, capacity, heard, silent) in [
+    for (name, capacity, leader, silent_after) in [
         ("first start, small", 120, None, forever),
         ("first start, large", 500, None, forever),
         (
@@ -83,103 +84,106 @@
             brief,
         ),
     ] {
-        let after = claims(capacity, heard, silent);
+        let after = first_claim(capacity, leader, silent_after);
         writeln!(table, "{name}: {after:?}").unwrap();
     }
     insta::assert_snapshot!(table);
 }
 
-/// Guards against entries that take a role back and forth: one that was replaced is not larger than its successor.
+/// Guards against entries that take the role from each other again and again: a leader that was replaced by a larger
+/// entry must not claim while that entry leads.
 #[test]
 fn replaced_leader_stays_follower() {
-    let mut small = Seat::new(Timing::default(), 0, 120, START);
-    small.read(true, START, START);
+    let mut small = Election::new(Timing::default(), 0, 120, START);
+    small.record_read(true, START, START);
     let now = START + Duration::from_millis(900);
-    small.read(true, now, now);
-    assert_eq!(small.claim(now), Claim::Look);
-    let now = now + READ;
+    small.record_read(true, now, now);
+    assert_eq!(small.claim(now), Claim::Refresh);
+    let now = now + READ_INTERVAL;
     let Claim::Append(epoch) = small.claim(now) else {
         panic!("nobody else claims");
     };
-    small.claimed(epoch, START);
-    assert!(small.hear(record(2 << 16, 500), START + READ));
+    small.claim_confirmed(epoch, START);
+    assert!(small.observe(record(2 << 16, 500), START + READ_INTERVAL));
     for step in 1..200 {
-        let now = now + READ * step;
-        small.read(true, now, now);
-        small.hear(record(2 << 16, 500), now);
+        let now = now + READ_INTERVAL * step;
+        small.record_read(true, now, now);
+        small.observe(record(2 << 16, 500), now);
         assert_eq!(small.claim(now), Claim::Wait, "after {step} reads");
     }
 }
 
-/// Guards against a claim by an entry that has not read the claim of another one, which takes the role from it at once.
+/// Guards against an entry that claims although another one has just done so and takes the role from it at once. The
+/// read that is requested before a claim shows the other claim.
 #[test]
-fn claim_of_another_entry_is_looked_for_first() {
-    let mut seat = Seat::new(Timing::default(), 0, 250, START);
-    let resigned = Heard {
+fn log_is_read_once_more_before_a_claim() {
+    let mut election = Election::new(Timing::default(), 0, 250, START);
+    let resigned = Observation {
         resigned: true,
         ..record(1 << 16, 250)
     };
-    seat.read(true, START, START);
-    seat.hear(resigned, START);
-    assert_eq!(seat.claim(START), Claim::Look);
-    seat.hear(record(2 << 16, 250), START + READ / 5);
-    seat.read(true, START, START + READ / 5);
-    assert_eq!(seat.claim(START + READ), Claim::Wait);
+    election.record_read(true, START, START);
+    election.observe(resigned, START);
+    assert_eq!(election.claim(START), Claim::Refresh);
+    election.observe(record(2 << 16, 250), START + READ_INTERVAL / 5);
+    election.record_read(true, START, START + READ_INTERVAL / 5);
+    assert_eq!(election.claim(START + READ_INTERVAL), Claim::Wait);
 }
 
-/// Guards against followers that take records from before an outage, which they read after it, for a sign of life.
+/// Guards against followers that wait longer than needed after an outage of the log, because they take records from
+/// before the outage, which they read after it, as proof that the leader is alive.
 #[test]
-fn records_from_before_an_outage_are_no_sign_of_life() {
-    let mut seat = Seat::new(Timing::default(), 0, 250, START);
-    seat.read(true, START, START);
-    seat.hear(record(1 << 16, 250), START);
+fn records_from_before_an_outage_do_not_prove_a_live_leader() {
+    let mut election = Election::new(Timing::default(), 0, 250, START);
+    election.record_read(true, START, START);
+    election.observe(record(1 << 16, 250), START);
     let back = START + Duration::from_secs(6);
-    seat.hear(record(1 << 16, 250), back);
+    election.observe(record(1 << 16, 250), back);
     let mut now = back;
     let mut claim = Claim::Wait;
     while !matches!(claim, Claim::Append(_)) {
-        seat.read(true, now, now);
-        claim = seat.claim(now);
-        now = now + READ;
+        election.record_read(true, now, now);
+        claim = election.claim(now);
+        now = now + READ_INTERVAL;
     }
     assert!(
-        now.since(back) < Timing::default().silence,
+        now.since(back) < Timing::default().election_timeout,
         "{:?}",
         now.since(back)
     );
 }
 
-/// Guards against an entry that claims again and again while the record of the entry that beat it is on its way, as
-/// happens when the log is slow.
+/// Guards against an entry that claims again and again after a rejected claim, while it has not read the record of the
+/// entry with the higher epoch yet. This happens when the log is slow.
 #[test]
 fn rejected_claim_is_not_repeated_at_once() {
-    let resigned = Heard {
+    let resigned = Observation {
         resigned: true,
         ..record(1 << 16, 250)
     };
-    let own_past = Heard {
-        own_past: true,
+    let earlier_incarnation = Observation {
+        earlier_incarnation: true,
         ..record(1 << 16, 250)
     };
     let mut table = String::new();
-    for (name, heard) in [
+    for (name, leader) in [
         ("after a resignation", resigned),
-        ("after a restart", own_past),
+        ("after a restart", earlier_incarnation),
         ("much smaller leader", record(1 << 16, 60)),
     ] {
-        let mut seat = Seat::new(Timing::default(), 0, 250, START);
+        let mut election = Election::new(Timing::default(), 0, 250, START);
         let mut now = START;
         let mut claims = Vec::new();
         while now < START + Duration::from_secs(4) {
-            seat.read(true, now, now);
+            election.record_read(true, now, now);
             if now == START {
-                seat.hear(heard, now);
+                election.observe(leader, now);
             }
-            if let Claim::Append(_) = seat.claim(now) {
+            if let Claim::Append(_) = election.claim(now) {
                 claims.push(now.since(START).as_millis());
-                seat.step_down(now);
+                election.step_down(now);
             }
-            now = now + READ;
+            now = now + READ_INTERVAL;
         }
         writeln!(table, "{name}: claims at {claims:?} ms").unwrap();
     }
