--- a/crates/control/src/clock/clock.rs
+++ b/crates/control/src/clock/clock.rs
@@ -1,4 +1,4 @@
-//! A clock that runs on while the host is suspended.
+//! Clock that keeps running while the host is suspended.
 
 use rustix::time::{
     ClockId,
@@ -11,27 +11,27 @@
     UNIX_EPOCH, //
 };
 
-/// A clock that never goes back and runs on while the host is suspended.
+/// Clock that never goes back and keeps running while the host is suspended.
 ///
-/// A leader that was suspended has to see that its tenure has ended, which the monotonic clock would hide. The clock
-/// starts at the time of day, so that times of different processes can be compared roughly.
+/// A leader that was suspended has to notice that its lease has ended, but `CLOCK_MONOTONIC` stands still meanwhile. The
+/// clock starts at the wall-clock time, so that times of different processes can be compared roughly.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// Microseconds to add to the time since boot.
-    offset: u64,
+    offset_us: u64,
 }
 
 impl Clock {
-    /// Makes a clock that shows the time of day now.
+    /// Returns a clock that starts at the present wall-clock time.
     pub fn new() -> Self {
         Self {
-            offset: wall().as_micros().saturating_sub(boot()),
+            offset_us: wall().as_micros().saturating_sub(since_boot_us()),
         }
     }
 
     /// Returns the present time.
     pub fn now(&self) -> Time {
-        Time::from_micros(boot() + self.offset)
+        Time::from_micros(since_boot_us() + self.offset_us)
     }
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the time of day, which may jump.
+/// Returns the wall-clock time, which may jump.
 pub fn wall() -> Time {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -49,8 +49,8 @@
     Time::from_micros(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Returns the microseconds since boot, with those for which the host was suspended.
-fn boot() -> u64 {
+/// Returns the microseconds since boot, including the time for which the host was suspended.
+fn since_boot_us() -> u64 {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(tv_sec).unwrap_or_default();
     let nanos = u64::try_from(tv_nsec).unwrap_or_default();
--- a/crates/control/src/clock/mod.rs
+++ b/crates/control/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! The clock of a process.
+//! Clock of a process.
 
 mod clock;
 
--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -101,8 +101,8 @@
         self.out
             .requests
             .push(store::Request::Lead { epoch, record });
-        self.out.requests.push(store::Request::Pace {
-            jobs: LEADER_PACE,
+        self.out.requests.push(store::Request::SetReads {
+            jobs_interval: LEADER_PACE,
             runners: true,
         });
         let silence = now.since(self.election.observed_at());
@@ -279,8 +279,8 @@
         self.runners_read = false;
         self.out.orders.push(Order::Close(None));
         self.out.requests.push(store::Request::Abandon);
-        self.out.requests.push(store::Request::Pace {
-            jobs: FOLLOWER_PACE,
+        self.out.requests.push(store::Request::SetReads {
+            jobs_interval: FOLLOWER_PACE,
             runners: false,
         });
     }
--- a/crates/control/src/front/connection.rs
+++ b/crates/control/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One connection.
+//! Connections of callers and of the readiness probe.
 
 use super::exchange::Exchange;
 use crate::port::Dialect;
@@ -22,14 +22,14 @@
 };
 use tokio::net::TcpStream;
 
-/// Time without the head of a request after which a connection is closed.
+/// Time without a complete request head after which a connection is closed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
-/// Largest head of a request in bytes.
-const HEAD_LIMIT: usize = 16 << 10;
+/// Largest request head.
+const HEAD_LIMIT_BYTES: usize = 16 << 10;
 
 /// Serves the requests of a caller until the connection or the process ends.
 pub(super) async fn serve<D: Dialect>(stream: TcpStream, exchange: Rc<Exchange<D>>) {
-    // Without this, a small answer waits for the acknowledgement of the one before.
+    // Nagle's algorithm would delay a small answer until the one before it is acknowledged.
     let _ = stream.set_nodelay(true);
     let open = exchange.open_connection();
     let service = service_fn(|request| {
@@ -39,13 +39,13 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(HEAD_LIMIT)
+        .max_buf_size(HEAD_LIMIT_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     tokio::select! {
-        // A broken connection concerns only its caller, who sees it.
+        // An error of the connection concerns only its caller, who notices it.
         _ = connection.as_mut() => {}
-        () = exchange.closed() => {
+        () = exchange.wait_for_close() => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
@@ -53,7 +53,7 @@
     drop(open);
 }
 
-/// Answers whether the entry is ready.
+/// Answers readiness probes: 200 if the entry is ready, 503 if not.
 pub(super) async fn serve_readiness<D: Dialect>(stream: TcpStream, exchange: Rc<Exchange<D>>) {
     let service = service_fn(|_| {
         let mut response = Response::new(Full::new(Bytes::new()));
@@ -62,7 +62,7 @@
         }
         async move { Ok::<_, Infallible>(response) }
     });
-    // A broken connection concerns only the one who asked.
+    // An error of the connection concerns only the prober.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
--- a/crates/control/src/front/exchange.rs
+++ b/crates/control/src/front/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and their answers.
+//! Callers' requests and their answers.
 
 use super::{
     Query,
@@ -56,16 +56,17 @@
     time::timeout, //
 };
 
-/// Largest body in bytes.
-const BODY_LIMIT: usize = 256 << 10;
-/// Time for which a caller waits that doesn't say how long.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Time before the end of the caller's patience at which it is told that the outcome is unknown.
-const RESERVE: Duration = Duration::from_millis(60);
-/// Requests that wait for the thread that decides.
+/// Largest body of a request.
+const BODY_LIMIT_BYTES: usize = 256 << 10;
+/// Time for which a caller is assumed to wait if its request names no timeout.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time before the end of the caller's timeout at which it is answered that the outcome is unknown, so that the answer
+/// reaches it in time.
+const ANSWER_MARGIN: Duration = Duration::from_millis(60);
+/// Largest number of requests that wait for an answer of the control thread.
 const WAITING_LIMIT: usize = 4_000;
 
-/// Requests of callers and their answers.
+/// Passes callers' requests to the control thread, and its answers back to them.
 pub(super) struct Exchange<D> {
     dialect: D,
     requests: RefCell<Sender<Request>>,
@@ -73,21 +74,25 @@
     clock: Clock,
     config: RefCell<Option<Arc<Config>>>,
     ready: Cell<bool>,
+    /// Callers that wait for an answer of the control thread, by their number.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
-    next: Cell<u64>,
+    /// Number of the next caller.
+    next_caller: Cell<u64>,
+    /// Number of open connections.
     connections: Cell<usize>,
     closing: Cell<bool>,
     close: Notify,
-    drained: Notify,
+    /// Notified whenever a connection ends.
+    connection_ended: Notify,
 }
 
-/// Counts an open connection.
-pub(super) struct Open<D>(Rc<Exchange<D>>);
+/// Counts an open connection until it is dropped.
+pub(super) struct OpenConnection<D>(Rc<Exchange<D>>);
 
-impl<D> Drop for Open<D> {
+impl<D> Drop for OpenConnection<D> {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
-        self.0.drained.notify_one();
+        self.0.connection_ended.notify_one();
     }
 }
 
@@ -101,11 +106,11 @@
             config: RefCell::new(None),
             ready: Cell::new(false),
             waiting: RefCell::default(),
-            next: Cell::new(0),
+            next_caller: Cell::new(0),
             connections: Cell::new(0),
             closing: Cell::new(false),
             close: Notify::new(),
-            drained: Notify::new(),
+            connection_ended: Notify::new(),
         }
     }
 
@@ -128,28 +133,28 @@
         }
     }
 
-    pub(super) fn open_connection(self: &Rc<Self>) -> Open<D> {
+    pub(super) fn open_connection(self: &Rc<Self>) -> OpenConnection<D> {
         self.connections.set(self.connections.get() + 1);
-        Open(Rc::clone(self))
+        OpenConnection(Rc::clone(self))
     }
 
-    /// Lets connections close after their present request.
+    /// Makes each connection close after its present request.
     pub(super) fn close(&self) {
         self.closing.set(true);
         self.close.notify_waiters();
     }
 
-    /// Waits until connections are to close.
-    pub(super) async fn closed(&self) {
+    /// Waits until [`close`](Self::close) is called.
+    pub(super) async fn wait_for_close(&self) {
         while !self.closing.get() {
             self.close.notified().await;
         }
     }
 
     /// Waits until no connection is open.
-    pub(super) async fn drained(&self) {
+    pub(super) async fn wait_for_drain(&self) {
         while self.connections.get() > 0 {
-            self.drained.notified().await;
+            self.connection_ended.notified().await;
         }
     }
 
@@ -183,7 +188,7 @@
         }
         let id = match self.dialect.id(rest) {
             Ok(id) => id,
-            // A longer path may have belonged to a queue that was removed.
+            // A path with more segments may belong to a queue that was removed.
             Err(reason) if rest.contains('/') => {
                 return (Reply::Problem(Problem::NoQueue, reason), None);
             }
@@ -201,7 +206,7 @@
     }
 
     async fn read_job(&self, id: Id, queue: &Queue, body: Incoming) -> Result<Job, String> {
-        let body = Limited::new(body, BODY_LIMIT).collect().await;
+        let body = Limited::new(body, BODY_LIMIT_BYTES).collect().await;
         let body = body.map_err(|error| format!("the body can't be read: {error}"))?;
         let (specification, steps, repeat) = self.dialect.job(&body.to_bytes())?;
         let job = Job {
@@ -216,12 +221,15 @@
         job.check().map_err(|error| error.to_string())
     }
 
-    /// Asks the thread that decides, and waits as long as the caller does.
+    /// Passes a request to the control thread, and waits for the answer until shortly before the caller's timeout.
     async fn ask(&self, query: Query, call: &Call, started: Time) -> Reply {
-        let patience = call.timeout.unwrap_or(PATIENCE).saturating_sub(RESERVE);
-        let left = patience.saturating_sub(self.clock.now().since(started));
-        let caller = self.next.get();
-        self.next.set(caller + 1);
+        let limit = call
+            .timeout
+            .unwrap_or(DEFAULT_TIMEOUT)
+            .saturating_sub(ANSWER_MARGIN);
+        let left = limit.saturating_sub(self.clock.now().since(started));
+        let caller = self.next_caller.get();
+        self.next_caller.set(caller + 1);
         let (sender, receiver) = oneshot::channel();
         let request = Request { caller, query };
         let full = self.waiting.borrow().len() >= WAITING_LIMIT;
@@ -263,7 +271,7 @@
         if let Some(id) = id {
             event = event.with("job", Value::Id(id.0));
         }
-        // Reads change nothing and are only counted.
+        // Reads change nothing, so they appear in metrics only.
         if matches!(reply, Reply::State(_) | Reply::Pending(_)) {
             event = event.quiet();
         }
--- a/crates/control/src/front/front.rs
+++ b/crates/control/src/front/front.rs
@@ -1,4 +1,4 @@
-//! The tasks of the thread.
+//! Tasks of the front thread.
 
 use super::{
     Notice,
@@ -31,32 +31,33 @@
     },
 };
 
-/// Pause after a connection could not be accepted, for example for want of descriptors.
+/// Pause after a connection could not be accepted, for example because no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the thread needs.
+/// Parts of the front thread.
 pub struct Front<P> {
     /// The platform.
     pub platform: P,
-    /// Listener for callers.
+    /// Listener for callers' connections.
     pub callers: net::TcpListener,
-    /// Listener for questions whether the entry is ready.
+    /// Listener for the readiness probe.
     pub readiness: net::TcpListener,
-    /// Requests for the thread that decides.
+    /// Callers' requests to the control thread.
     pub requests: Sender<Request>,
-    /// What that thread tells.
+    /// Messages from the control thread.
     pub notices: Receiver<Notice>,
-    /// Signal of that ring.
+    /// Signal of `notices`.
     pub signal: Signal,
-    /// Events.
+    /// Events for logs and metrics.
     pub sink: Sink,
     /// The clock of the process.
     pub clock: Clock,
-    /// Time for requests in progress after a [`Notice::Close`].
+    /// Time that requests in progress have after a [`Notice::Close`].
     pub drain: Duration,
 }
 
-/// Runs until the last connection has ended after a [`Notice::Close`], or has had time to. It needs a local task set.
+/// Runs until, after a [`Notice::Close`], the last connection has ended or the time for it is over. It has to run in a
+/// local task set.
 pub async fn run<P: Platform>(front: Front<P>) {
     let mut notices = front.notices;
     let exchange = Rc::new(Exchange::new(
@@ -71,15 +72,15 @@
     if let Ok(listener) = TcpListener::from_std(front.readiness) {
         spawn_local(accept_readiness::<P>(listener, Rc::clone(&exchange)));
     }
-    let mut close_at = None;
+    let mut close_limit = None;
     loop {
         let ready = || !notices.is_empty() || notices.is_closed();
-        match close_at {
+        match close_limit {
             None => front.signal.wait(ready).await,
-            // Answers to requests in progress still come while connections close.
+            // While connections close, the control thread still sends answers to requests in progress.
             Some(limit) => tokio::select! {
                 () = front.signal.wait(ready) => {}
-                () = exchange.drained() => return,
+                () = exchange.wait_for_drain() => return,
                 () = sleep_until(limit) => return,
             },
         }
@@ -90,7 +91,7 @@
                 Notice::Ready(ready) => exchange.set_ready(ready),
                 Notice::Close => {
                     exchange.close();
-                    close_at = Some(Instant::now() + front.drain);
+                    close_limit = Some(Instant::now() + front.drain);
                 }
             }
         }
--- a/crates/control/src/front/message.rs
+++ b/crates/control/src/front/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the thread and the one that decides.
+//! Messages between the front thread and the control thread.
 
 use crate::port::Reply;
 use sassafrascrank_job::{
@@ -8,42 +8,42 @@
 use sassafrascrank_schedule::Config;
 use std::sync::Arc;
 
-/// What a caller wants.
+/// Request of a caller.
 #[derive(Debug)]
 pub enum Query {
-    /// A job is submitted.
+    /// Submits a job.
     Submit(Arc<Job>),
-    /// The state of a job.
+    /// Asks for the state of a job.
     State(Id),
-    /// A job is cancelled.
+    /// Cancels a job.
     Cancel(Id),
-    /// Number of a queue's jobs that have not begun.
+    /// Asks for the number of pending jobs in a queue.
     Pending(Arc<str>),
 }
 
-/// What a caller wants, and who waits for the answer.
+/// Request of a caller, and who waits for the answer.
 #[derive(Debug)]
 pub struct Request {
-    /// Names the caller within the thread.
+    /// Identifies the waiting caller within the front thread.
     pub caller: u64,
-    /// What the caller wants.
+    /// The request.
     pub query: Query,
 }
 
-/// What the thread is told.
+/// Message to the front thread.
 #[derive(Debug)]
 pub enum Notice {
     /// The answer for a caller.
     Reply {
-        /// Names the caller.
+        /// Identifies the waiting caller.
         caller: u64,
         /// The answer.
         reply: Reply,
     },
-    /// A configuration is in force.
+    /// A new configuration is in force.
     Config(Arc<Config>),
-    /// Whether the entry takes requests.
+    /// The entry accepts requests from now on, or does not.
     Ready(bool),
-    /// The process ends: connections close after their present request.
+    /// The process ends: each connection closes after its present request.
     Close,
 }
--- a/crates/control/src/front/mod.rs
+++ b/crates/control/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The thread that holds callers' connections and says whether the entry is ready.
+//! The front thread, which serves callers' connections and the readiness probe.
 
 mod connection;
 mod exchange;
--- a/crates/control/src/port/dialect.rs
+++ b/crates/control/src/port/dialect.rs
@@ -1,4 +1,4 @@
-//! Form of callers' requests and answers.
+//! Encoding of callers' requests and answers as HTTP messages.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,19 +14,19 @@
     replica::State, //
 };
 
-/// What a caller wants of a path.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verb {
-    /// The state of a job or the length of a queue.
+    /// Asks for the state of a job, or for the number of pending jobs in a queue.
     Read,
-    /// A job is submitted.
+    /// Submits a job.
     Submit,
-    /// A job is cancelled.
+    /// Cancels a job.
     Cancel,
 }
 
 impl Verb {
-    /// Returns the name in logs.
+    /// Returns the name that logs use.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -36,20 +36,20 @@
     }
 }
 
-/// The head of a request.
+/// Decoded head of a request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What the caller wants.
+    /// Kind of the request.
     pub verb: Verb,
-    /// Host name that the caller used.
+    /// Host name in the request.
     pub host: String,
-    /// Path that the caller used.
+    /// Path in the request.
     pub path: String,
-    /// How long the caller waits for the answer.
+    /// Time for which the caller waits for the answer; `None` if the request does not say.
     pub timeout: Option<Duration>,
 }
 
-/// Why a request was not done.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Problem {
     /// The request is malformed.
@@ -60,50 +60,51 @@
     NoJob,
     /// The entry has no configuration yet.
     Unconfigured,
-    /// The log refused the record, so nothing was done.
+    /// Nothing was done: the log refused the record or can't be reached, or this entry has not read the jobs recently
+    /// enough.
     Unavailable,
     /// The entry holds as many requests as it can; nothing was done.
     Overloaded,
-    /// The entry does not know whether the request was done.
+    /// The entry does not know whether the request takes effect.
     Unknown,
 }
 
 /// Answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// The job is stored, or its cancel is.
+    /// The log holds the submission or the cancellation.
     Done,
     /// State of a job.
     State(State),
-    /// Number of a queue's jobs that have not begun.
+    /// Number of pending jobs in a queue.
     Pending(u64),
-    /// The request was not done.
+    /// The request failed; the text names the reason and the remedy.
     Problem(Problem, String),
 }
 
-/// Form of callers' requests and answers.
+/// Encoding of callers' requests and answers as HTTP messages.
 pub trait Dialect: Clone + 'static {
-    /// Reads the head of a request.
+    /// Decodes the head of a request.
     ///
     /// # Errors
     ///
     /// Names what is not allowed and the remedy.
     fn call(&self, head: &request::Parts) -> Result<Call, String>;
 
-    /// Reads the body of a submission: the specification, the steps, and the occurrences.
+    /// Decodes the body of a submission into the specification, the steps, and the schedule of occurrences.
     ///
     /// # Errors
     ///
     /// Names the field that is not allowed and the remedy.
     fn job(&self, body: &[u8]) -> Result<(String, Vec<Step>, Option<Repeat>), String>;
 
-    /// Reads the identity of a job at the end of a path.
+    /// Decodes the identity of a job from the part of the path after the queue's own path.
     ///
     /// # Errors
     ///
     /// Names what is not allowed and the remedy.
     fn id(&self, rest: &str) -> Result<Id, String>;
 
-    /// Writes an answer.
+    /// Encodes an answer.
     fn answer(&self, reply: &Reply) -> Response<Full<Bytes>>;
 }
--- a/crates/control/src/port/log.rs
+++ b/crates/control/src/port/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log.
+//! The platform's log, which keeps records by topic and key.
 
 use core::future::Future;
 use sassafrascrank_base::prelude::*;
@@ -8,19 +8,19 @@
 };
 use std::sync::Arc;
 
-/// Topics that the threads read.
+/// Topic of the log.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Topic {
     /// Jobs, their progress, and the leader.
     Jobs,
-    /// Configuration and waves, written by operators.
+    /// Configuration and maintenance waves, written by operators.
     Operator,
-    /// The service list, written by runners.
+    /// The service list, in which runners announce themselves.
     Runners,
 }
 
 impl Topic {
-    /// Returns the name in logs.
+    /// Returns the name that log lines use.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Jobs => "jobs",
@@ -30,103 +30,104 @@
     }
 }
 
-/// A keyed record; an empty value drops the key.
+/// A record with a key. A record with an empty value removes the key.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// Its position in the topic.
+    /// Offset in the topic.
     pub offset: u64,
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value.
+    /// Value of the record.
     pub value: Vec<u8>,
 }
 
-/// Records, and the offset from which to read on.
+/// Result of a read.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// The records.
     pub items: Vec<Item>,
-    /// Offset from which to read on.
+    /// Offset from which the next read has to continue.
     pub next: u64,
-    /// Offset after the last record that the log held.
+    /// Offset after the last record that the topic held at the time of the read.
     pub end: u64,
 }
 
 impl Page {
-    /// Tells whether the page reaches the end that the log had.
+    /// Tells whether the page reaches the end of the topic.
     pub fn is_last(&self) -> bool {
         self.next >= self.end
     }
 }
 
-/// Who appends; the log rejects lower epochs of a name and recognises repeats by the sequence.
+/// Source of an append. The log rejects appends with a lower epoch than an earlier one of the same name, and recognises
+/// repeated appends by their sequence.
 #[derive(Clone, Debug)]
 pub struct Producer {
-    /// Name; a name may pass from one process to another.
+    /// Name; another process may take it over.
     pub name: Arc<str>,
-    /// Grows when the name passes on.
+    /// Grows whenever another process takes over the name.
     pub epoch: u64,
-    /// Number of the append, from 0 in each epoch.
+    /// Number of the append within the epoch, from 0.
     pub sequence: u64,
 }
 
-/// A read failed.
+/// Error of a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum ReadError {
-    /// The records have expired.
+    /// Records from the requested offset on have been removed.
     #[error("the records have expired: read the newest record of each key")]
     Expired,
-    /// The log can't be reached or refuses.
+    /// The log can't be reached, or refuses the read.
     #[error("the log can't be read ({0}): try again later")]
     Unavailable(String),
 }
 
-/// An append failed.
+/// Error of an append.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum AppendError {
-    /// Nothing was appended.
+    /// The log refused the append; nothing was stored.
     #[error("the log refused the append ({0}): try again later")]
     Refused(String),
-    /// A higher epoch has appended.
+    /// Another process has appended under the same name with a higher epoch.
     #[error("another process appends with a higher epoch: stop appending")]
     Fenced,
-    /// The sequence does not follow the last one; the log holds all appends below `expected`.
+    /// The sequence does not follow the last one. The log holds all appends with a sequence below `expected`.
     #[error("the log expects append {expected}: those before it are stored")]
     Sequence {
-        /// Sequence of the next append.
+        /// Sequence that the log expects next.
         expected: u64,
     },
-    /// The append may have taken effect.
+    /// No answer arrived, so the append may have been stored or not.
     #[error("the append got no answer ({0}): repeat it with the same sequence")]
     Unknown(String),
 }
 
-/// What an operator's record says.
+/// Decoded record of an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorRecord {
-    /// A configuration.
+    /// The configuration to put in force.
     Config(Arc<Config>),
-    /// A maintenance wave.
+    /// A maintenance wave to carry out.
     Wave {
-        /// Its number.
+        /// Number of the wave.
         number: u64,
         /// Hosts that need maintenance.
         hosts: Vec<Arc<str>>,
-        /// Time within which it has to be done.
+        /// Time within which the wave has to be done.
         duration: Duration,
-        /// Hosts that may be in maintenance at once.
+        /// Largest number of hosts in maintenance at the same time.
         cap: usize,
     },
 }
 
-/// The platform's log, over one connection.
+/// Connection to the platform's log.
 pub trait Log: 'static {
-    /// Reads the newest record of each key.
+    /// Reads the latest record of each key.
     fn newest(&mut self, topic: Topic) -> impl Future<Output = Result<Page, ReadError>>;
 
-    /// Reads from an offset on, and waits for a record if there is none.
+    /// Reads records from the offset `from` on. If there is none, waits for one for up to `wait`.
     fn read(
         &mut self,
         topic: Topic,
@@ -134,7 +135,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Page, ReadError>>;
 
-    /// Appends records to the jobs, all or none.
+    /// Appends records with their keys to [`Topic::Jobs`], either all or none. Waits for the answer for up to `timeout`.
     fn append(
         &mut self,
         producer: &Producer,
@@ -142,10 +143,10 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<u64, AppendError>>;
 
-    /// Publishes the state of a wave for operators.
+    /// Publishes for operators that a wave is running or, if `done` is set, done.
     fn announce(&mut self, wave: u64, done: bool) -> impl Future<Output = Result<(), AppendError>>;
 
-    /// Decodes an operator's record; `None` for one that says nothing to the system.
+    /// Decodes an operator's record. Returns `None` for a record that needs no action.
     ///
     /// # Errors
     ///
@@ -156,6 +157,6 @@
     ///
     /// # Errors
     ///
-    /// Names the field that is not allowed. The record then names no runner to use.
+    /// Names the field that is not allowed. The runner with the key of the record must then not be used.
     fn runner(item: &Item) -> Result<runner::Change, String>;
 }
--- a/crates/control/src/port/mod.rs
+++ b/crates/control/src/port/mod.rs
@@ -1,4 +1,4 @@
-//! What the threads ask of the platform, as traits that an adapter implements.
+//! Interface to the platform: traits that an adapter implements.
 
 mod dialect;
 mod fleet;
@@ -28,7 +28,7 @@
     Runners, //
 };
 
-/// Everything that the platform gives, as factories for the threads that use it.
+/// Access to the platform. Each thread creates its own connections.
 pub trait Platform: Clone + Send + 'static {
     /// Connection to the log.
     type Log: Log;
@@ -36,18 +36,18 @@
     type Runners: Runners;
     /// Connections to the host service.
     type Fleet: Fleet;
-    /// Form of callers' requests.
+    /// Encoding of callers' requests and answers.
     type Dialect: Dialect;
 
-    /// Makes a connection to the log.
+    /// Creates a connection to the log.
     fn log(&self) -> Self::Log;
 
-    /// Makes the connections to runners.
+    /// Creates the connections to runners and to the advice service.
     fn runners(&self) -> Self::Runners;
 
-    /// Makes the connections to the host service.
+    /// Creates the connections to the host service.
     fn fleet(&self) -> Self::Fleet;
 
-    /// Returns the form of callers' requests.
+    /// Returns the encoding of callers' requests and answers.
     fn dialect(&self) -> Self::Dialect;
 }
--- a/crates/control/src/port/runners.rs
+++ b/crates/control/src/port/runners.rs
@@ -1,4 +1,4 @@
-//! Orders to runners.
+//! Runners, which run the tasks, and the advice service.
 
 use core::{
     future::Future,
@@ -15,26 +15,26 @@
 };
 use std::sync::Arc;
 
-/// The runner's clock in milliseconds, if it was shown, and what came of the order.
+/// The runner's clock in milliseconds, if the answer shows it, and the result of the order.
 pub type Answer<T> = (Option<u64>, Result<T, Failure>);
 
-/// Orders to runners, and questions to the advice service.
+/// Connections to runners and to the advice service.
 pub trait Runners: 'static {
-    /// Starts an attempt.
+    /// Starts an attempt of a task.
     fn start(&self, order: &Start) -> impl Future<Output = Answer<()>>;
 
-    /// Stops an attempt.
+    /// Stops an attempt of a task.
     fn stop(&self, order: &Stop) -> impl Future<Output = Answer<()>>;
 
-    /// Lists what runs and what has ended.
+    /// Renews the leases at a runner, and returns the attempts that run or have ended there.
     fn look(&self, order: &Look) -> impl Future<Output = Answer<View>>;
 
-    /// Sets the share at which a task works.
+    /// Sets the share of its full speed at which an attempt works.
     fn pace(&self, order: &Pace) -> impl Future<Output = Answer<()>>;
 
-    /// Closes idle connections to an address, or to all.
+    /// Closes idle connections to one address, or to all runners.
     fn close(&self, address: Option<SocketAddr>);
 
-    /// Asks which runners may run a step; `None` if there is no answer.
+    /// Asks the advice service which runners may run a step. Returns `None` if it does not answer.
     fn advise(&self, step: Task, runners: &[Arc<str>]) -> impl Future<Output = Option<Approval>>;
 }
--- a/crates/control/src/process/mod.rs
+++ b/crates/control/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! One entry process: its threads and the rings between them.
+//! An entry process: its threads and the rings between them.
 
 mod process;
 mod settings;
--- a/crates/control/src/process/process.rs
+++ b/crates/control/src/process/process.rs
@@ -1,4 +1,4 @@
-//! Start and end of a process.
+//! Start and shutdown of an entry process.
 
 use super::{
     Settings,
@@ -53,24 +53,24 @@
     thread::JoinHandle,
 };
 
-/// Requests of callers between two wake-ups of the thread that decides.
-const CALLS: usize = 1_024;
-/// Answers to callers.
-const NOTICES: usize = 1_024;
-/// Events of the log; one event holds all records of a read.
-const EVENTS: usize = 256;
-/// Requests to the log.
-const REQUESTS: usize = 1_024;
-/// Orders, and reports on them.
-const ORDERS: usize = 4_096;
-/// Events for logs and metrics.
-const TRACES: usize = 4_096;
+/// Capacity of the ring of callers' requests to the control thread, which empties it whenever it wakes up.
+const CALL_CAPACITY: usize = 1_024;
+/// Capacity of the ring of answers to callers.
+const NOTICE_CAPACITY: usize = 1_024;
+/// Capacity of the ring of events of the log. One event holds all records of a read.
+const EVENT_CAPACITY: usize = 256;
+/// Capacity of the ring of requests to the log.
+const REQUEST_CAPACITY: usize = 1_024;
+/// Capacity of the ring of orders and of the ring of reports on them.
+const ORDER_CAPACITY: usize = 4_096;
+/// Capacity of each ring of events for logs and metrics.
+const TRACE_CAPACITY: usize = 4_096;
 
 /// The process can't start or a thread has panicked.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// An address can't be listened on.
+    /// The process can't listen on an address.
     #[error("can't listen on {0} ({1}): free the address or change the settings")]
     Listen(SocketAddr, io::Error),
     /// A thread can't be started.
@@ -81,7 +81,7 @@
     Panicked(&'static str),
 }
 
-/// A running process.
+/// A running entry process.
 #[derive(Debug)]
 pub struct Process {
     stop: Arc<AtomicBool>,
@@ -94,11 +94,11 @@
 }
 
 impl Process {
-    /// Starts the threads.
+    /// Starts the threads of the process.
     ///
     /// # Errors
     ///
-    /// Fails if an address is in use or the system refuses a thread.
+    /// Fails if an address can't be listened on or the system refuses a thread.
     pub fn start<P: Platform>(
         settings: Settings,
         platform: P,
@@ -110,14 +110,14 @@
         let shutdown = Shutdown::within(settings.grace);
         let [wake, trace_wake, front_signal, store_signal, drive_signal] =
             [(); 5].map(|()| Signal::new());
-        let (call_sender, calls) = ring(CALLS, &wake);
-        let (event_sender, events) = ring(EVENTS, &wake);
-        let (report_sender, reports) = ring(ORDERS, &wake);
-        let (notice_sender, notices) = ring(NOTICES, &front_signal);
-        let (request_sender, requests) = ring(REQUESTS, &store_signal);
-        let (order_sender, orders) = ring(ORDERS, &drive_signal);
-        let (front_sink, front_source) = sink("front", TRACES, &trace_wake);
-        let (mut control_sink, control_source) = sink("control", TRACES, &trace_wake);
+        let (call_sender, calls) = ring(CALL_CAPACITY, &wake);
+        let (event_sender, events) = ring(EVENT_CAPACITY, &wake);
+        let (report_sender, reports) = ring(ORDER_CAPACITY, &wake);
+        let (notice_sender, notices) = ring(NOTICE_CAPACITY, &front_signal);
+        let (request_sender, requests) = ring(REQUEST_CAPACITY, &store_signal);
+        let (order_sender, orders) = ring(ORDER_CAPACITY, &drive_signal);
+        let (front_sink, front_source) = sink("front", TRACE_CAPACITY, &trace_wake);
+        let (mut control_sink, control_source) = sink("control", TRACE_CAPACITY, &trace_wake);
         control_sink.record(Event::new("start", clock.now()));
         let [stop, trace_stop] = [(); 2].map(|()| Arc::new(AtomicBool::new(false)));
 
@@ -145,12 +145,12 @@
         let store = Store {
             platform: platform.clone(),
             name: Arc::clone(&settings.name),
-            born: identity.incarnation,
+            incarnation: identity.incarnation,
             requests,
             signal: store_signal,
             events: event_sender,
             clock,
-            pace: control::FOLLOWER_PACE,
+            jobs_interval: control::FOLLOWER_PACE,
         };
         start("store", move || store::run(store))?;
         let drive = Drive {
@@ -186,7 +186,7 @@
         })
     }
 
-    /// Stops the process: it resigns, serves the requests that it has, and ends its threads.
+    /// Shuts the process down: it resigns if it leads, completes the requests in progress, and ends its threads.
     ///
     /// # Errors
     ///
@@ -201,13 +201,13 @@
         self.trace_stop.store(true, Ordering::SeqCst);
         self.trace_wake.raise();
         let trace = self.trace.join().map_err(|_| Error::Panicked("observe"))?;
-        // Without metrics the process has run to its end all the same.
+        // An error of the metrics endpoint does not concern the shutdown.
         drop(trace);
         Ok(())
     }
 }
 
-/// What the thread for logs and metrics needs.
+/// Parts of the thread that writes logs and metrics.
 struct Trace {
     process: Arc<str>,
     sources: Vec<Source>,
--- a/crates/control/src/process/settings.rs
+++ b/crates/control/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! What a process has to know at its start.
+//! Settings of an entry process.
 
 use crate::control::{
     Control,
@@ -8,36 +8,36 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// What a process has to know at its start.
+/// Settings of an entry process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the entry, which no other living process has.
+    /// Name of the entry, which no other live process has.
     pub name: Arc<str>,
-    /// Processor in thousandths of a core.
+    /// Processor capacity in thousandths of a core.
     pub capacity: u32,
-    /// Address for callers.
+    /// Address on which callers are served.
     pub callers: SocketAddr,
-    /// Address for questions whether the entry is ready.
+    /// Address of the readiness probe.
     pub readiness: SocketAddr,
-    /// Address of the metrics endpoint.
+    /// Address of the metrics endpoint, if there is one.
     pub metrics: Option<SocketAddr>,
-    /// Time after a request to stop after which the platform ends the process by force.
+    /// Grace period: time from a request to stop until the platform kills the process.
     pub grace: Duration,
     /// Time for which the state of an ended job is kept.
     pub retention: Duration,
-    /// Times of the leadership.
+    /// Durations of the leader election.
     pub lead: sassafrascrank_lead::Timing,
-    /// Times and limits of the scheduler.
+    /// Durations and limits of the scheduler.
     pub rules: sassafrascrank_schedule::Rules,
 }
 
 impl Settings {
-    /// Returns the state of the thread of decisions.
+    /// Returns the initial state of the control thread.
     pub(super) fn control(&self, identity: Identity, now: Time) -> Control {
         Control::new(identity, self.lead, self.rules, self.retention, now)
     }
 
-    /// Returns the name and life of the process that starts at `wall`, the time of day.
+    /// Returns the identity of the process, which starts at the wall-clock time `wall`.
     pub(super) fn identity(&self, wall: Time) -> Identity {
         Identity {
             name: Arc::clone(&self.name),
--- a/crates/control/src/process/thread.rs
+++ b/crates/control/src/process/thread.rs
@@ -1,4 +1,4 @@
-//! Threads, each with a current-thread runtime of its own.
+//! Threads that each have a current-thread runtime.
 
 use std::{
     io,
@@ -12,10 +12,11 @@
     task::LocalSet, //
 };
 
-/// Stack of a thread in bytes; memory counts on small hosts.
-const STACK: usize = 512 << 10;
+/// Stack size of each thread. It is smaller than the usual 2 MiB to save memory on small hosts.
+const STACK_BYTES: usize = 512 << 10;
 
-/// Starts a thread that runs the future which `make` returns, and others that it spawns locally.
+/// Starts a thread with a runtime and a local task set of its own. The thread runs the future that `make` returns, and
+/// ends with it.
 pub(super) fn spawn<F, T>(name: &'static str, make: F) -> io::Result<JoinHandle<T::Output>>
 where
     F: FnOnce() -> T + Send + 'static,
@@ -27,6 +28,6 @@
         .build()?;
     Builder::new()
         .name(name.to_owned())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(move || LocalSet::new().block_on(&runtime, async move { make().await }))
 }
--- a/crates/control/src/store/append.rs
+++ b/crates/control/src/store/append.rs
@@ -1,10 +1,10 @@
-//! Appends with a sequence, repeated until their fate is known.
+//! Appends with a sequence number, which are repeated until their result is known.
 
 use super::{
     Event,
     Written,
-    lane::Lane,
-    outlet::Outlet, //
+    appender::Appender,
+    sender::EventSender, //
 };
 use crate::{
     clock::Clock,
@@ -33,18 +33,19 @@
     time::sleep, //
 };
 
-/// Name under which leaders append; it passes from one to the next.
-const LEADER: &str = "leader";
-/// Records of callers in one append.
+/// Producer name that all leaders append under, so that the log rejects appends of former leaders.
+const LEADER_NAME: &str = "leader";
+/// Largest number of callers' records in one append.
 const BATCH_LIMIT: usize = 64;
-/// Bytes of one append of the leader, below the log's limit of 2 MiB.
-const CHUNK_LIMIT: usize = 1 << 20;
-/// Time for which a refused append of a caller's record is tried, a quarter of the shortest objective.
-const PATIENCE: Duration = Duration::from_millis(150);
-/// Pause after a refusal.
+/// Largest size of one append of the leader. The log's limit is 2 MiB.
+const CHUNK_LIMIT_BYTES: usize = 1 << 20;
+/// Time for which a caller's record is retried while the log refuses it, and for which it may wait for its turn. It is a
+/// quarter of the shortest objective, so that the caller can still try another entry.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Pause before an append that the log refused is retried.
 const REFUSED_PAUSE: Duration = Duration::from_millis(40);
 
-/// A queue within one thread.
+/// Queue between tasks of one thread.
 pub(super) struct Queue<T> {
     items: RefCell<VecDeque<T>>,
     wake: Notify,
@@ -80,7 +81,7 @@
     }
 }
 
-/// A caller's record that waits.
+/// A caller's record that waits to be appended.
 pub(super) struct Accept {
     pub(super) token: u64,
     pub(super) record: Record,
@@ -89,11 +90,11 @@
 
 /// Appends callers' records until the thread ends.
 pub(super) async fn accept<L: Log>(
-    mut lane: Lane<L>,
+    mut appender: Appender<L>,
     mut producer: Producer,
     queue: Rc<Queue<Accept>>,
     clock: Clock,
-    outlet: Outlet,
+    events: EventSender,
 ) {
     loop {
         queue.wait().await;
@@ -105,7 +106,7 @@
         let started = clock.now();
         let mut doubtful = false;
         let stored = loop {
-            match lane.append(&producer, &records).await {
+            match appender.append(&producer, &records).await {
                 Ok(()) => {
                     producer.sequence += 1;
                     break true;
@@ -116,7 +117,7 @@
                 }
                 Err(AppendError::Sequence { expected }) => producer.sequence = expected,
                 Err(AppendError::Refused(_)) => {
-                    if !doubtful && clock.now().since(started) >= PATIENCE {
+                    if !doubtful && clock.now().since(started) >= ACCEPT_TIMEOUT {
                         break false;
                     }
                     sleep(REFUSED_PAUSE).await;
@@ -125,18 +126,19 @@
                     doubtful = true;
                 }
             }
-            refuse_late(&queue, &clock, &outlet).await;
+            refuse_late(&queue, &clock, &events).await;
         };
         for item in batch {
             let token = item.token;
-            outlet.send(Event::Accepted { token, stored }).await;
+            events.send(Event::Accepted { token, stored }).await;
         }
     }
 }
 
-/// Refuses records that wait behind an append without an answer: they were not sent, and callers do better elsewhere.
-async fn refuse_late(queue: &Queue<Accept>, clock: &Clock, outlet: &Outlet) {
-    let limit = clock.now() - PATIENCE;
+/// Reports failure for records that have waited too long behind an append without an answer. They were not sent, so the
+/// callers can try another entry.
+async fn refuse_late(queue: &Queue<Accept>, clock: &Clock, events: &EventSender) {
+    let limit = clock.now() - ACCEPT_TIMEOUT;
     let late: Vec<u64> = {
         let mut items = queue.items.borrow_mut();
         let late = items.iter().filter(|item| item.since < limit);
@@ -146,26 +148,26 @@
     };
     for token in late {
         let stored = false;
-        outlet.send(Event::Accepted { token, stored }).await;
+        events.send(Event::Accepted { token, stored }).await;
     }
 }
 
-/// What the leader appends next.
+/// Records of the leader that wait to be appended.
 pub(super) struct Write {
     pub(super) epoch: u64,
     pub(super) records: Vec<Record>,
 }
 
-/// Appends the leader's records until the thread ends. `epoch` holds the epoch that leads, 0 for none.
+/// Appends the leader's records until the thread ends. `epoch` is the epoch in which this entry leads, 0 if it does not.
 pub(super) async fn write<L: Log>(
-    mut lane: Lane<L>,
+    mut appender: Appender<L>,
     queue: Rc<Queue<Write>>,
     epoch: Rc<Cell<u64>>,
     clock: Clock,
-    outlet: Outlet,
+    events: EventSender,
 ) {
     let mut producer = Producer {
-        name: Arc::from(LEADER),
+        name: Arc::from(LEADER_NAME),
         epoch: 0,
         sequence: 0,
     };
@@ -180,11 +182,13 @@
                 producer.sequence = 0;
             }
             let started = clock.now();
-            let current = Current(&epoch);
-            let result = current.write(&mut lane, &mut producer, &next.records).await;
+            let leader = LeaderEpoch(&epoch);
+            let result = leader
+                .write(&mut appender, &mut producer, &next.records)
+                .await;
             if let Some(result) = result {
                 let epoch = next.epoch;
-                outlet
+                events
                     .send(Event::Written {
                         epoch,
                         started,
@@ -196,19 +200,19 @@
     }
 }
 
-/// The epoch that leads, against which an append of the leader is checked.
-struct Current<'a>(&'a Cell<u64>);
+/// The epoch in which this entry leads, 0 if it does not. Appends stop as soon as it changes.
+struct LeaderEpoch<'a>(&'a Cell<u64>);
 
-impl Current<'_> {
-    /// Appends records in chunks. Returns `None` if the role was given up meanwhile.
+impl LeaderEpoch<'_> {
+    /// Appends records in chunks. Returns `None` if the entry gave up the lead meanwhile.
     async fn write<L: Log>(
         &self,
-        lane: &mut Lane<L>,
+        appender: &mut Appender<L>,
         producer: &mut Producer,
         records: &[Record],
     ) -> Option<Written> {
         for chunk in chunks(records) {
-            let result = self.append(lane, producer, &chunk).await?;
+            let result = self.append(appender, producer, &chunk).await?;
             if result == Written::Fenced {
                 return Some(result);
             }
@@ -218,12 +222,12 @@
 
     async fn append<L: Log>(
         &self,
-        lane: &mut Lane<L>,
+        appender: &mut Appender<L>,
         producer: &mut Producer,
         chunk: &[(String, Vec<u8>)],
     ) -> Option<Written> {
         loop {
-            match lane.append(producer, chunk).await {
+            match appender.append(producer, chunk).await {
                 Ok(()) => {
                     producer.sequence += 1;
                     return Some(Written::Stored);
@@ -244,14 +248,14 @@
     }
 }
 
-/// Encodes records and divides them into appends of a bounded size.
+/// Encodes records, and divides them into chunks of at most [`CHUNK_LIMIT_BYTES`] unless one record is larger.
 fn chunks(records: &[Record]) -> Vec<Vec<(String, Vec<u8>)>> {
     let mut chunks = Vec::new();
     let mut chunk = Vec::new();
     let mut size = 0;
     for encoded in records.iter().flat_map(encode) {
         let length = encoded.0.len() + encoded.1.len();
-        if size + length > CHUNK_LIMIT && !chunk.is_empty() {
+        if size + length > CHUNK_LIMIT_BYTES && !chunk.is_empty() {
             chunks.push(core::mem::take(&mut chunk));
             size = 0;
         }
@@ -262,9 +266,9 @@
     chunks
 }
 
-/// Encodes a record; a job that is forgotten takes all its keys along.
-fn encode(value: &Record) -> Vec<(String, Vec<u8>)> {
-    match value {
+/// Encodes a record. For a job that is removed, returns one removal for each of its keys.
+fn encode(record: &Record) -> Vec<(String, Vec<u8>)> {
+    match record {
         Record::Forget(id) => {
             let keys = record::keys(*id).into_iter();
             keys.map(|key| (key, Vec::new())).collect()
--- a/crates/control/src/store/lane.rs
+++ b/crates/control/src/store/appender.rs
@@ -1,4 +1,4 @@
-//! Appends over several connections, so that a lost answer costs little time.
+//! Appends that are hedged over several connections, so that a lost answer causes little delay.
 
 use crate::{
     clock::Clock,
@@ -18,38 +18,38 @@
     sleep_until, //
 };
 
-/// Connections of a lane. Four in turn lose all their answers once in 40 times if the log loses 40% of them.
-const WIDTH: usize = 4;
-/// Shortest and longest time for which an answer is awaited before the append is also sent on another connection.
+/// Number of connections. If 40% of the answers are lost, four appends lose all of theirs in one of 40 cases.
+const CONNECTIONS: usize = 4;
+/// Bounds of the time without an answer after which an append is also sent on a second connection.
 const HEDGE_MIN: Duration = Duration::from_millis(30);
 const HEDGE_MAX: Duration = Duration::from_millis(400);
-/// Multiple of the usual time of an append after which it is also sent on another connection.
+/// Multiple of the usual duration of an append after which it is also sent on a second connection.
 const HEDGE_FACTOR: u32 = 3;
-/// Growth of that time with each connection. A slow log carries out one append after the other, so that each further
-/// copy delays all entries.
+/// Factor by which that time grows with each further connection. A slow log processes appends one after the other, so
+/// each further copy delays all entries.
 const HEDGE_GROWTH: u32 = 4;
-/// Shortest and longest time after which a connection without an answer is given up.
+/// Bounds of the time after which an append without an answer fails.
 const TIMEOUT_MIN: Duration = Duration::from_millis(500);
 const TIMEOUT_MAX: Duration = Duration::from_millis(1_000);
-/// Multiple of the usual time of an append after which its connection is given up.
+/// Multiple of the usual duration of an append after which it fails without an answer.
 const TIMEOUT_FACTOR: u32 = 8;
 
-/// Appends of one producer, one after the other.
+/// Sends the appends of one producer, one after the other.
 ///
-/// The log recognises a repeat by its sequence, so an append that is not answered soon is sent on further connections,
-/// and the first answer counts.
-pub struct Lane<L> {
+/// An append that is not answered soon is also sent on further connections, and the first success counts. The log
+/// recognises repeated appends by their sequence, so it stores each only once.
+pub struct Appender<L> {
     logs: Vec<L>,
     clock: Clock,
-    /// Usual time of an append.
+    /// Moving average of the duration of an append.
     usual: Duration,
 }
 
-impl<L: Log> Lane<L> {
-    /// Makes a lane whose connections come from `connect`.
+impl<L: Log> Appender<L> {
+    /// Creates an appender with connections from `connect`.
     pub fn new(connect: impl Fn() -> L, clock: Clock) -> Self {
         Self {
-            logs: (0..WIDTH).map(|_| connect()).collect(),
+            logs: (0..CONNECTIONS).map(|_| connect()).collect(),
             clock,
             usual: HEDGE_MIN / HEDGE_FACTOR,
         }
@@ -59,7 +59,8 @@
     ///
     /// # Errors
     ///
-    /// The append was refused only if every connection says so; otherwise it may have taken effect.
+    /// Returns [`AppendError::Refused`] only if every connection that the append was sent on was refused, and
+    /// [`AppendError::Unknown`] if one of them had no answer, since the log may then hold the records.
     pub async fn append(
         &mut self,
         producer: &Producer,
@@ -68,22 +69,22 @@
         let clock = self.clock;
         let timeout = (self.usual * TIMEOUT_FACTOR).clamp(TIMEOUT_MIN, TIMEOUT_MAX);
         let mut hedge = (self.usual * HEDGE_FACTOR).clamp(HEDGE_MIN, HEDGE_MAX);
-        let mut spare = self.logs.iter_mut();
-        let mut tries = FuturesUnordered::new();
+        let mut unused = self.logs.iter_mut();
+        let mut attempts = FuturesUnordered::new();
         let mut failure: Option<AppendError> = None;
         loop {
-            if let Some(log) = spare.next() {
-                tries.push(async move {
-                    let asked = clock.now();
+            if let Some(log) = unused.next() {
+                attempts.push(async move {
+                    let started = clock.now();
                     let result = log.append(producer, records, timeout).await;
-                    result.map(|_| clock.now().since(asked))
+                    result.map(|_| clock.now().since(started))
                 });
             }
             let next = Instant::now() + hedge;
             loop {
                 let result = tokio::select! {
-                    Some(result) = tries.next() => result,
-                    () = sleep_until(next), if spare.len() > 0 => break,
+                    Some(result) = attempts.next() => result,
+                    () = sleep_until(next), if unused.len() > 0 => break,
                 };
                 match result {
                     Ok(took) => {
@@ -96,9 +97,9 @@
                     Err(AppendError::Unknown(reason)) => {
                         failure = Some(AppendError::Unknown(reason));
                     }
-                    Err(known) => return Err(known),
+                    Err(error) => return Err(error),
                 }
-                if tries.is_empty()
+                if attempts.is_empty()
                     && let Some(failure) = failure.take()
                 {
                     return Err(failure);
--- a/crates/control/src/store/message.rs
+++ b/crates/control/src/store/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the thread and the one that decides.
+//! Messages between the store thread and the control thread.
 
 use crate::port::{
     OperatorRecord,
@@ -8,103 +8,103 @@
 use sassafrascrank_job::Record;
 use sassafrascrank_schedule::runner;
 
-/// What the thread is asked to do.
+/// Request to the store thread.
 #[derive(Debug)]
 pub enum Request {
-    /// Appends a caller's record; any entry may.
+    /// Appends a caller's record. Every entry may do so, also if it does not lead.
     Accept {
-        /// Names the request in the answer.
+        /// Identifies the request in the answer.
         token: u64,
         /// The record.
         record: Record,
     },
-    /// Begins appending as the leader of an epoch.
+    /// Appends a claim, and all later [`Write`](Self::Write)s with the epoch of the claim.
     Lead {
-        /// The epoch.
+        /// Epoch of the claim.
         epoch: u64,
         /// The claim.
         record: Record,
     },
     /// Appends records of the leader.
     Write(Vec<Record>),
-    /// Stops appending as the leader.
+    /// Stops appending as the leader, and drops records that are not sent yet.
     Abandon,
-    /// Sets the shortest time between two reads of the jobs, and whether the service list is read.
-    Pace {
+    /// Sets how the topics are read.
+    SetReads {
         /// Shortest time between two reads of the jobs.
-        jobs: Duration,
-        /// The service list is read.
+        jobs_interval: Duration,
+        /// Whether the service list is read.
         runners: bool,
     },
     /// Reads the jobs now.
     Refresh,
-    /// Publishes the state of a wave.
+    /// Publishes the state of a wave for operators.
     Announce {
         /// Number of the wave.
         wave: u64,
-        /// All its hosts have begun their maintenance.
+        /// Whether all its hosts have begun their maintenance.
         done: bool,
     },
 }
 
-/// What came of an append of the leader.
+/// Result of an append of the leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Written {
     /// The log holds the records.
     Stored,
-    /// Another leader has a higher epoch.
+    /// The log refused the records, since another leader has appended with a higher epoch.
     Fenced,
 }
 
-/// What the thread reports.
+/// Event that the store thread reports.
 #[derive(Debug)]
 pub enum Event {
-    /// Records of jobs.
+    /// Records of [`Topic::Jobs`] were read.
     Jobs {
         /// The records with their offsets.
         records: Vec<(u64, Record)>,
         /// When the read began.
         started: Time,
-        /// All jobs were read, not only new records.
+        /// The read returned the latest record of each key, not only new records.
         complete: bool,
-        /// No later record was there when they were read.
+        /// The read reached the end of the topic.
         last: bool,
     },
-    /// Records of operators.
+    /// Records of operators were read.
     Operator(Vec<OperatorRecord>),
-    /// Records of the service list.
+    /// Records of the service list were read.
     Runners {
-        /// The changes.
+        /// Changes to the service list.
         changes: Vec<runner::Change>,
-        /// All runners were read; those that are not named are not listed.
+        /// The whole list was read: runners without a change are no longer listed.
         complete: bool,
     },
-    /// A topic can't be read.
+    /// A read of a topic failed. It is repeated.
     ReadFailed {
         /// The topic.
         topic: Topic,
     },
-    /// What came of a caller's record.
+    /// Result of the append of a caller's record.
     Accepted {
-        /// Names the request.
+        /// Identifies the request.
         token: u64,
-        /// The log holds the record; otherwise it never will.
+        /// Whether the log holds the record. If not, it will not be appended later either.
         stored: bool,
     },
-    /// What came of an append of the leader.
+    /// Result of an append of the leader.
     Written {
         /// Epoch of the leader.
         epoch: u64,
-        /// When its first try began.
+        /// When the first attempt to append began.
         started: Time,
-        /// What came of it.
+        /// The result.
         result: Written,
     },
-    /// A record was skipped.
+    /// A record was skipped because it could not be decoded.
     Skipped {
-        /// Its topic.
+        /// Topic of the record.
         topic: Topic,
-        /// What is wrong with it.
+        /// What is wrong with the record.
         reason: String,
     },
 }
--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -1,13 +1,13 @@
-//! The thread that talks to the platform's log.
+//! The store thread, which reads the platform's log and appends to it.
 
 mod append;
-mod lane;
+mod appender;
 mod message;
-mod outlet;
+mod sender;
 mod store;
 mod tail;
 
-pub use lane::Lane;
+pub use appender::Appender;
 pub use message::{
     Event,
     Request,
--- a/crates/control/src/store/outlet.rs
+++ b/crates/control/src/store/sender.rs
@@ -1,4 +1,4 @@
-//! Sending of events by several tasks of one thread.
+//! Sender of events that several tasks of one thread share.
 
 use super::Event;
 use core::time::Duration;
@@ -9,19 +9,19 @@
 };
 use tokio::time::sleep;
 
-/// Pause before another try when the ring is full.
+/// Pause before the next attempt to send while the ring is full.
 const FULL_PAUSE: Duration = Duration::from_millis(5);
 
-/// Sending end that several tasks of one thread share.
+/// Sender of events that several tasks of one thread share.
 #[derive(Clone)]
-pub(super) struct Outlet(Rc<RefCell<Sender<Event>>>);
+pub(super) struct EventSender(Rc<RefCell<Sender<Event>>>);
 
-impl Outlet {
+impl EventSender {
     pub(super) fn new(sender: Sender<Event>) -> Self {
         Self(Rc::new(RefCell::new(sender)))
     }
 
-    /// Sends an event, and waits while the ring is full.
+    /// Sends an event, and waits while the ring is full. Drops the event if the receiver is gone.
     pub(super) async fn send(&self, event: Event) {
         let mut event = event;
         loop {
--- a/crates/control/src/store/store.rs
+++ b/crates/control/src/store/store.rs
@@ -1,4 +1,4 @@
-//! The tasks of the thread.
+//! Tasks of the store thread.
 
 use super::{
     Event, Request,
@@ -8,11 +8,11 @@
         Queue,
         Write, //
     },
-    lane::Lane,
-    outlet::Outlet,
+    appender::Appender,
+    sender::EventSender,
     tail::{
         self,
-        Control, //
+        Handle, //
     },
 };
 use crate::{
@@ -40,58 +40,59 @@
     time::sleep, //
 };
 
-/// How long a read of the jobs waits for a record. A follower that reads nothing for longer than the silence of a
-/// leader could not tell a silent leader from a silent log.
+/// How long a read of the jobs waits for a record. It has to be shorter than the election timeout, or a follower could
+/// not tell a leader that has stopped from a log that does not answer.
 const JOBS_WAIT: Duration = Duration::from_millis(400);
-/// How long a read of the operators' records waits. A read on a connection that a partition has silenced fails only
-/// after this time and the slack of the call; a configuration has to be in force 2 s after it was published.
+/// How long a read of the operators' records waits for a record. A read on a connection that a network partition has cut
+/// fails only after this time and the margin of the call, and a configuration has to be in force 2 s after it was
+/// published.
 const OPERATOR_WAIT: Duration = Duration::from_millis(900);
-/// How long a read of the service list waits.
+/// How long a read of the service list waits for a record.
 const RUNNERS_WAIT: Duration = Duration::from_millis(1_000);
-/// Shortest time between two reads of the service list, which changes at each heartbeat of a runner.
-const RUNNERS_PACE: Duration = Duration::from_millis(250);
-/// Time after which a wave's state is published again if that failed.
-const ANNOUNCE_RETRY: Duration = Duration::from_millis(500);
+/// Shortest time between two reads of the service list, which changes with each heartbeat of a runner.
+const RUNNERS_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause before the state of a wave is published again after a failure.
+const ANNOUNCE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// What the thread needs.
+/// Parts of the store thread.
 pub struct Store<P> {
     /// The platform.
     pub platform: P,
-    /// Name of the process as a producer.
+    /// Name of the entry, under which it appends callers' records.
     pub name: Arc<str>,
-    /// Start of the process.
-    pub born: u64,
-    /// Requests of the thread that decides.
+    /// Start of the process in microseconds since the Unix epoch, the epoch of these appends.
+    pub incarnation: u64,
+    /// Requests of the control thread.
     pub requests: Receiver<Request>,
-    /// Signal of that ring.
+    /// Signal of `requests`.
     pub signal: Signal,
-    /// Events for the thread that decides.
+    /// Events for the control thread.
     pub events: Sender<Event>,
     /// The clock of the process.
     pub clock: Clock,
-    /// Shortest time between two reads of the jobs, at the start.
-    pub pace: Duration,
+    /// Shortest time between two reads of the jobs, until a request sets another one.
+    pub jobs_interval: Duration,
 }
 
-/// What requests act on.
-struct Lanes<P> {
+/// Handles to the tasks that read and append.
+struct Tasks<P> {
     platform: P,
     clock: Clock,
-    jobs: Rc<Control>,
-    runners: Rc<Control>,
+    jobs: Rc<Handle>,
+    runners: Rc<Handle>,
     accepts: Rc<Queue<Accept>>,
     writes: Rc<Queue<Write>>,
-    /// Epoch that leads, 0 for none.
+    /// Epoch in which this entry leads, 0 if it does not.
     epoch: Rc<Cell<u64>>,
 }
 
-/// Runs until the requests end. It needs a local task set.
+/// Runs until the sender of requests is gone. It has to run in a local task set.
 pub async fn run<P: Platform>(store: Store<P>) {
     let mut requests = store.requests;
     let signal = store.signal;
-    let lanes = Lanes {
-        jobs: Control::new(true, store.pace, JOBS_WAIT),
-        runners: Control::new(false, RUNNERS_PACE, RUNNERS_WAIT),
+    let tasks = Tasks {
+        jobs: Handle::new(true, store.jobs_interval, JOBS_WAIT),
+        runners: Handle::new(false, RUNNERS_INTERVAL, RUNNERS_WAIT),
         accepts: Queue::new(),
         writes: Queue::new(),
         epoch: Rc::new(Cell::new(0)),
@@ -100,15 +101,15 @@
     };
     let producer = Producer {
         name: Arc::clone(&store.name),
-        epoch: store.born,
+        epoch: store.incarnation,
         sequence: 0,
     };
-    lanes.start(producer, &Outlet::new(store.events));
+    tasks.start(producer, &EventSender::new(store.events));
     loop {
         let ready = || !requests.is_empty() || requests.is_closed();
         signal.wait(ready).await;
         while let Some(request) = requests.try_recv() {
-            lanes.take(request);
+            tasks.handle(request);
         }
         if requests.is_closed() {
             return;
@@ -116,45 +117,45 @@
     }
 }
 
-impl<P: Platform> Lanes<P> {
+impl<P: Platform> Tasks<P> {
     /// Starts the tasks that read and append.
-    fn start(&self, producer: Producer, outlet: &Outlet) {
-        let operator = Control::new(true, Duration::ZERO, OPERATOR_WAIT);
+    fn start(&self, producer: Producer, events: &EventSender) {
+        let operator = Handle::new(true, Duration::ZERO, OPERATOR_WAIT);
         let topics = [
             (Topic::Jobs, &self.jobs),
             (Topic::Operator, &operator),
             (Topic::Runners, &self.runners),
         ];
-        for (topic, control) in topics {
+        for (topic, handle) in topics {
             spawn_local(tail::follow(
                 self.platform.log(),
                 topic,
-                Rc::clone(control),
+                Rc::clone(handle),
                 self.clock,
-                outlet.clone(),
+                events.clone(),
             ));
         }
         spawn_local(append::accept(
-            self.lane(),
+            self.appender(),
             producer,
             Rc::clone(&self.accepts),
             self.clock,
-            outlet.clone(),
+            events.clone(),
         ));
         spawn_local(append::write(
-            self.lane(),
+            self.appender(),
             Rc::clone(&self.writes),
             Rc::clone(&self.epoch),
             self.clock,
-            outlet.clone(),
+            events.clone(),
         ));
     }
 
-    fn lane(&self) -> Lane<P::Log> {
-        Lane::new(|| self.platform.log(), self.clock)
+    fn appender(&self) -> Appender<P::Log> {
+        Appender::new(|| self.platform.log(), self.clock)
     }
 
-    fn take(&self, request: Request) {
+    fn handle(&self, request: Request) {
         match request {
             Request::Accept { token, record } => self.accepts.push(Accept {
                 token,
@@ -175,8 +176,11 @@
                 self.epoch.set(0);
                 self.writes.clear();
             }
-            Request::Pace { jobs, runners } => {
-                self.jobs.pace.set(jobs);
+            Request::SetReads {
+                jobs_interval,
+                runners,
+            } => {
+                self.jobs.interval.set(jobs_interval);
                 self.runners.enabled.set(runners);
                 self.jobs.wake.notify_one();
                 self.runners.wake.notify_one();
@@ -189,10 +193,10 @@
     }
 }
 
-/// Publishes the state of a wave, and tries again until that succeeds. The state "done" follows "running", so that a
-/// late try of the latter would be wrong; it is given up after one failure.
+/// Publishes the state of a wave. "done" is retried until it succeeds. "running" is not retried, since the retry could
+/// overtake the "done" that follows.
 async fn announce<L: Log>(mut log: L, wave: u64, done: bool) {
     while log.announce(wave, done).await.is_err() && done {
-        sleep(ANNOUNCE_RETRY).await;
+        sleep(ANNOUNCE_RETRY_PAUSE).await;
     }
 }
--- a/crates/control/src/store/tail.rs
+++ b/crates/control/src/store/tail.rs
@@ -1,8 +1,8 @@
-//! Following of one topic.
+//! Reader that follows one topic.
 
 use super::{
     Event,
-    outlet::Outlet, //
+    sender::EventSender, //
 };
 use crate::{
     clock::Clock,
@@ -30,26 +30,26 @@
     },
 };
 
-/// Pause after a read that failed.
+/// Pause before a read is repeated after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How one topic is followed; the task that follows it reads the values before each read.
-pub(super) struct Control {
-    /// The topic is followed.
+/// Handle to the task that follows a topic. The task takes the values before each read.
+pub(super) struct Handle {
+    /// Whether the topic is read.
     pub(super) enabled: Cell<bool>,
     /// Shortest time between the beginnings of two reads.
-    pub(super) pace: Cell<Duration>,
+    pub(super) interval: Cell<Duration>,
     /// How long a read waits for a record.
     pub(super) wait: Cell<Duration>,
-    /// Ends a pause.
+    /// Ends the present pause between two reads.
     pub(super) wake: Notify,
 }
 
-impl Control {
-    pub(super) fn new(enabled: bool, pace: Duration, wait: Duration) -> Rc<Self> {
+impl Handle {
+    pub(super) fn new(enabled: bool, interval: Duration, wait: Duration) -> Rc<Self> {
         Rc::new(Self {
             enabled: Cell::new(enabled),
-            pace: Cell::new(pace),
+            interval: Cell::new(interval),
             wait: Cell::new(wait),
             wake: Notify::new(),
         })
@@ -60,53 +60,61 @@
 pub(super) async fn follow<L: Log>(
     mut log: L,
     topic: Topic,
-    control: Rc<Control>,
+    handle: Rc<Handle>,
     clock: Clock,
-    outlet: Outlet,
+    events: EventSender,
 ) {
     let mut next = None;
     loop {
-        if !control.enabled.get() {
+        if !handle.enabled.get() {
             next = None;
-            control.wake.notified().await;
+            handle.wake.notified().await;
             continue;
         }
         let started = clock.now();
         let result = match next {
             None => log.newest(topic).await,
-            Some(from) => log.read(topic, from, control.wait.get()).await,
+            Some(from) => log.read(topic, from, handle.wait.get()).await,
         };
         match result {
             Ok(page) => {
                 let complete = next.is_none();
                 next = Some(page.next);
                 let last = page.is_last();
-                pass_on::<L>(topic, page, started, complete, &outlet).await;
+                pass_on::<L>(topic, page, started, complete, &events).await;
                 if !last {
                     continue;
                 }
                 let spent = clock.now().since(started);
-                let pause = control.pace.get().saturating_sub(spent);
+                let pause = handle.interval.get().saturating_sub(spent);
                 if !pause.is_zero() {
                     // A refresh ends the pause early.
-                    let _ = timeout(pause, control.wake.notified()).await;
+                    let _ = timeout(pause, handle.wake.notified()).await;
                 }
             }
             Err(ReadError::Expired) => next = None,
             Err(ReadError::Unavailable(_)) => {
-                // Of operators and runners only the newest records count, which are fewer than those that were missed.
+                // Of operators and runners only the latest record of each key counts. These are fewer than all records that
+                // were missed.
                 if topic != Topic::Jobs {
                     next = None;
                 }
-                outlet.send(Event::ReadFailed { topic }).await;
+                events.send(Event::ReadFailed { topic }).await;
                 sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Decodes and passes on what was read. A record that can't be decoded is skipped.
-async fn pass_on<L: Log>(topic: Topic, page: Page, started: Time, complete: bool, outlet: &Outlet) {
+/// Decodes the records of a page and sends them to the control thread. A record that can't be decoded is skipped and
+/// reported.
+async fn pass_on<L: Log>(
+    topic: Topic,
+    page: Page,
+    started: Time,
+    complete: bool,
+    events: &EventSender,
+) {
     let mut skipped = Vec::new();
     let last = page.is_last();
     let event = match topic {
@@ -125,37 +133,37 @@
                 last,
             }
         }
-        Topic::Operator => Event::Operator(notices::<L>(&page.items, &mut skipped)),
+        Topic::Operator => Event::Operator(operator_records::<L>(&page.items, &mut skipped)),
         Topic::Runners => Event::Runners {
-            changes: runners::<L>(&page.items, &mut skipped),
+            changes: runner_changes::<L>(&page.items, &mut skipped),
             complete,
         },
     };
     for reason in skipped {
-        outlet.send(Event::Skipped { topic, reason }).await;
+        events.send(Event::Skipped { topic, reason }).await;
     }
-    outlet.send(event).await;
+    events.send(event).await;
 }
 
-fn notices<L: Log>(items: &[Item], skipped: &mut Vec<String>) -> Vec<OperatorRecord> {
-    let mut notices = Vec::new();
+fn operator_records<L: Log>(items: &[Item], skipped: &mut Vec<String>) -> Vec<OperatorRecord> {
+    let mut records = Vec::new();
     for item in items {
         match L::operator_record(item) {
-            Ok(notice) => notices.extend(notice),
+            Ok(record) => records.extend(record),
             Err(reason) => skipped.push(reason),
         }
     }
-    notices
+    records
 }
 
-fn runners<L: Log>(items: &[Item], skipped: &mut Vec<String>) -> Vec<runner::Change> {
+fn runner_changes<L: Log>(items: &[Item], skipped: &mut Vec<String>) -> Vec<runner::Change> {
     let mut changes = Vec::new();
     for item in items {
         match L::runner(item) {
             Ok(change) => changes.push(change),
             Err(reason) => {
                 skipped.push(reason);
-                // The record names no runner to use, and hides the one that it replaced.
+                // The record has replaced the one that described the runner, so the runner must no longer be used.
                 changes.push(runner::Change::Removed(item.key.as_str().into()));
             }
         }
--- a/crates/control/tests/lane.rs
+++ b/crates/control/tests/appender.rs
@@ -1,4 +1,4 @@
-//! Appends over several connections, in the virtual time of the runtime.
+//! Appends that are hedged over several connections, in the virtual time of the runtime.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_control::{
@@ -13,7 +13,7 @@
         ReadError,
         Topic, //
     },
-    store::Lane,
+    store::Appender,
 };
 use sassafrascrank_schedule::runner::Change;
 use std::{
@@ -27,21 +27,21 @@
     sleep, //
 };
 
-/// What becomes of one try.
+/// How the log responds to one attempt.
 #[derive(Clone, Copy)]
-enum Fate {
-    /// It is answered after so many milliseconds.
+enum Response {
+    /// The log stores the records and answers after this many milliseconds.
     Stored(u64),
-    /// Its answer is lost.
+    /// The answer is lost.
     Lost,
-    /// Nothing is done.
+    /// The log refuses the attempt and stores nothing.
     Refused,
 }
 
-/// A log whose tries end as a script says.
-struct Script(Rc<RefCell<VecDeque<Fate>>>);
+/// A log that takes its responses from a list.
+struct ScriptedLog(Rc<RefCell<VecDeque<Response>>>);
 
-impl Log for Script {
+impl Log for ScriptedLog {
     async fn newest(&mut self, _: Topic) -> Result<Page, ReadError> {
         Ok(Page::default())
     }
@@ -56,17 +56,17 @@
         _: &[(String, Vec<u8>)],
         timeout: Duration,
     ) -> Result<u64, AppendError> {
-        let fate = self.0.borrow_mut().pop_front().unwrap_or(Fate::Lost);
-        match fate {
-            Fate::Stored(after) => {
+        let response = self.0.borrow_mut().pop_front().unwrap_or(Response::Lost);
+        match response {
+            Response::Stored(after) => {
                 sleep(Duration::from_millis(after)).await;
                 Ok(0)
             }
-            Fate::Lost => {
+            Response::Lost => {
                 sleep(timeout).await;
                 Err(AppendError::Unknown("no answer".to_owned()))
             }
-            Fate::Refused => Err(AppendError::Refused("busy".to_owned())),
+            Response::Refused => Err(AppendError::Refused("busy".to_owned())),
         }
     }
 
@@ -83,16 +83,17 @@
     }
 }
 
-/// Guards against a lost answer that holds up all decisions until a timeout, against a refusal that is reported although
-/// another try may have been stored, and against tries that a slow log gets on top of each other.
+/// Guards against a lost answer that delays all further appends until a timeout, against a refusal that is reported
+/// although another attempt may have been stored, and against a slow log that receives more and more copies of an
+/// append.
 #[tokio::test(start_paused = true)]
 async fn append_is_sent_on_further_connections_until_one_answers() {
-    use Fate::{
+    use Response::{
         Lost,
         Refused,
         Stored, //
     };
-    let cases: [(&str, &[Fate]); 6] = [
+    let cases: [(&str, &[Response]); 6] = [
         ("answered", &[Stored(10)]),
         ("one answer lost", &[Lost, Stored(10)]),
         ("three answers lost", &[Lost, Lost, Lost, Stored(10)]),
@@ -104,17 +105,19 @@
         ("lost, then refused", &[Lost, Refused, Refused, Refused]),
     ];
     let mut report = String::new();
-    for (name, fates) in cases {
-        let script = Rc::new(RefCell::new(fates.iter().copied().collect::<VecDeque<_>>()));
-        let mut lane = Lane::new(|| Script(Rc::clone(&script)), Clock::new());
+    for (name, responses) in cases {
+        let script = Rc::new(RefCell::new(
+            responses.iter().copied().collect::<VecDeque<_>>(),
+        ));
+        let mut appender = Appender::new(|| ScriptedLog(Rc::clone(&script)), Clock::new());
         let producer = Producer {
             name: "entry".into(),
             epoch: 1,
             sequence: 0,
         };
         let began = Instant::now();
-        let result = lane.append(&producer, &[]).await;
-        let tries = fates.len() - script.borrow().len();
+        let result = appender.append(&producer, &[]).await;
+        let tries = responses.len() - script.borrow().len();
         writeln!(
             report,
             "{name}: {result:?} after {:?}, {tries} tries",
--- a/crates/control/tests/world/entry.rs
+++ b/crates/control/tests/world/entry.rs
@@ -185,7 +185,10 @@
                 entry.writes.clear();
                 entry.writing = None;
             }
-            Request::Pace { jobs, runners } => {
+            Request::SetReads {
+                jobs_interval: jobs,
+                runners,
+            } => {
                 let entry = &mut self.entries[index];
                 entry.pace = jobs;
                 let begins = runners && !entry.runners;
