--- a/crates/control/src/store/mod.rs
+++ b/crates/control/src/store/mod.rs
@@ -1,11 +1,11 @@
 //! The store thread, which reads the platform's log and appends to it.
 
-mod append;
 mod appender;
 mod message;
 mod sender;
 mod store;
 mod tail;
+mod writer;
 
 pub use appender::Appender;
 pub use message::{
--- a/crates/control/src/store/store.rs
+++ b/crates/control/src/store/store.rs
@@ -2,18 +2,18 @@
 
 use super::{
     Event, Request,
-    append::{
-        self,
-        Accept,
-        Queue,
-        Write, //
-    },
     appender::Appender,
     sender::EventSender,
     tail::{
         self,
         Handle, //
     },
+    writer::{
+        self,
+        Accept,
+        Queue,
+        Write, //
+    },
 };
 use crate::{
     clock::Clock,
@@ -135,14 +135,14 @@
                 events.clone(),
             ));
         }
-        spawn_local(append::accept(
+        spawn_local(writer::accept(
             self.appender(),
             producer,
             Rc::clone(&self.accepts),
             self.clock,
             events.clone(),
         ));
-        spawn_local(append::write(
+        spawn_local(writer::write(
             self.appender(),
             Rc::clone(&self.writes),
             Rc::clone(&self.epoch),
--- a/crates/control/src/store/append.rs
+++ b/crates/control/src/store/writer.rs
@@ -1,4 +1,5 @@
-//! Appends with a sequence number, which are repeated until their result is known.
+//! Tasks that append callers' records and the leader's records. Each append has a sequence number, and is repeated until
+//! its result is known.
 
 use super::{
     Event,
--- a/crates/job/tests/format.rs
+++ b/crates/job/tests/format.rs
@@ -78,14 +78,14 @@
         1_700_000_000_u64,
         4_000_u32,
     );
-    let turn = (
+    let batch = (
         "batch",
         1_500.5_f64,
         Some(2.5_f64),
         Some(("web", 30_000_u64)),
     );
-    let unknown = ("web", 0.0_f64, (), ());
-    let turns = (9_u64, (turn, unknown), Some(("batch", 1_700_000_000_u64)));
+    let web = ("web", 0.0_f64, (), ());
+    let demand = (9_u64, (batch, web), Some(("batch", 1_700_000_000_u64)));
     vec![
         ("job", job()),
         ("cancelled job", stored("c00000000000000a1", &true)),
@@ -103,7 +103,7 @@
             "ordered host",
             stored("hhost-1", &(9_u64, 1_700_000_000_u64)),
         ),
-        ("demand", stored("turns", &turns)),
+        ("demand", stored("turns", &demand)),
         ("removed job", ("j00000000000000a1".to_owned(), Vec::new())),
     ]
 }
