--- /dev/null
+++ b/crates/lead/src/election/mod.rs
@@ -0,0 +1,12 @@
+//! Leader election, as one entry takes part in it.
+
+mod election;
+mod timing;
+
+pub use election::{
+    Claim,
+    Election,
+    Observation,
+    Role, //
+};
+pub use timing::Timing;
