--- a/crates/dispatch/src/engine/backlog.rs
+++ b/crates/dispatch/src/engine/backlog.rs
@@ -5,7 +5,7 @@
     prelude::*, //
 };
 use sassafrascrank_queue::Class;
-use sassafrascrank_route::partition::MILLI;
+use sassafrascrank_route::partition::MILLISLOTS_PER_SLOT;
 
 /// Slots of a pool of which contracts have a share.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -68,8 +68,8 @@
         } else {
             capacity.home
         };
-        let limit = u64::from(slots) * u64::from(self.share_percent) * MILLI / 100;
-        let demand = |pending: &u32| u64::from(*pending) * MILLI;
+        let limit = u64::from(slots) * u64::from(self.share_percent) * MILLISLOTS_PER_SLOT / 100;
+        let demand = |pending: &u32| u64::from(*pending) * MILLISLOTS_PER_SLOT;
         let total_demand: u64 = self.pending.iter().map(demand).sum();
         if total_demand <= limit {
             let room = if total_demand > 0 {
--- a/crates/dispatch/src/engine/configure.rs
+++ b/crates/dispatch/src/engine/configure.rs
@@ -16,8 +16,8 @@
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Sign,
-    Site, //
+    Attributes,
+    DrainSource, //
 };
 use std::collections::BTreeSet;
 
@@ -32,7 +32,12 @@
     }
 
     /// Sends no new requests to an upstream that is leaving; returns whether this is the first sign that it leaves.
-    pub fn drain_upstream(&mut self, now: Time, upstream: upstream::Key, sign: Sign) -> bool {
+    pub fn drain_upstream(
+        &mut self,
+        now: Time,
+        upstream: upstream::Key,
+        sign: DrainSource,
+    ) -> bool {
         let pool = self.upstreams.get(upstream);
         let pool = pool.and_then(|upstream| self.pools.get_mut(upstream.pool));
         pool.is_some_and(|pool| pool.router.drain(now, upstream, sign))
@@ -197,16 +202,16 @@
             let Some(pool) = self.pools.get_mut(configured.pool) else {
                 continue;
             };
-            let site = Site {
+            let attributes = Attributes {
                 availability_zone: configured.availability_zone,
                 slots: pool.upstream_slots,
             };
             pool.upstreams.push(configured.key);
-            pool.router.insert(now, configured.key, site);
+            pool.router.insert(now, configured.key, attributes);
             if configured.leaving {
-                pool.router.drain(now, configured.key, Sign::List);
+                pool.router.drain(now, configured.key, DrainSource::List);
             }
-            self.upsert_upstream(configured, site);
+            self.upsert_upstream(configured, attributes);
         }
     }
 }
--- a/crates/dispatch/src/engine/engine.rs
+++ b/crates/dispatch/src/engine/engine.rs
@@ -27,7 +27,7 @@
     Request, //
 };
 use sassafrascrank_route::{
-    Report,
+    AttemptResult,
     Status, //
 };
 use slotmap::{
@@ -148,7 +148,7 @@
     ///
     /// An answer ends the request. After a failure, the request is retried unless that could run a non-idempotent
     /// request twice or a limit forbids it; otherwise [`Engine::poll`] refuses it.
-    pub fn finish(&mut self, now: Time, caller: caller::Handle, report: Report) {
+    pub fn finish(&mut self, now: Time, caller: caller::Handle, report: AttemptResult) {
         let Some(key) = self.lookup(caller) else {
             return;
         };
@@ -189,7 +189,7 @@
                 since,
             } => {
                 let pool = ticket.arrival.pool;
-                self.release_slot(now, pool, upstream, &grant, since, Report::Cancelled);
+                self.release_slot(now, pool, upstream, &grant, since, AttemptResult::Cancelled);
             }
             Stage::Backoff => {}
         }
@@ -277,7 +277,7 @@
         upstream: upstream::Key,
         grant: &Grant,
         since: Time,
-        report: Report,
+        report: AttemptResult,
     ) {
         let actual = now.since(since);
         if let Some(pool) = self.pools.get_mut(pool_key) {
@@ -290,7 +290,7 @@
         };
         let limited = customer.running >= customer.concurrency;
         customer.running = customer.running.saturating_sub(1);
-        if let Report::Answered(_) = report {
+        if let AttemptResult::Answered(_) = report {
             customer.record_cost(pool_key, grant.class, actual);
         }
         if limited {
--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -9,10 +9,10 @@
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_route::{
-    Site,
+    Attributes,
     partition::{
         self,
-        Part,
+        Quota,
         SILENCE_LIMIT, //
     },
 };
@@ -23,8 +23,8 @@
     pub(super) id: u64,
     pub(super) pool: pool::Key,
     pub(super) address: SocketAddr,
-    site: Site,
-    part: Part,
+    attributes: Attributes,
+    part: Quota,
     /// Whether `part` has been set for the first time.
     initialised: bool,
     /// Slots by the latest division; `part` follows them with a delay.
@@ -118,14 +118,15 @@
                 others.map(|peer| find_demand(&peer.demands, key).map_or(0, |it| it.millislots));
             // The division gives each entry one slot at least.
             let (count, wanted) = wants.fold((0, 0), |(count, sum), want| {
-                (count + 1, sum + want.max(partition::MILLI))
+                (count + 1, sum + want.max(partition::MILLISLOTS_PER_SLOT))
             });
             let millislots = pool.report(now, wanted, count);
             if millislots > 0 {
                 demands.push(Demand {
                     pool: key,
                     millislots,
-                    spill_millislots: millislots.min(u64::from(pool.spillable) * partition::MILLI),
+                    spill_millislots: millislots
+                        .min(u64::from(pool.spillable) * partition::MILLISLOTS_PER_SLOT),
                 });
             }
         }
@@ -171,18 +172,22 @@
         });
     }
 
-    pub(super) fn upsert_upstream(&mut self, configured: &catalog::Upstream, site: Site) {
+    pub(super) fn upsert_upstream(
+        &mut self,
+        configured: &catalog::Upstream,
+        attributes: Attributes,
+    ) {
         if let Some(known) = self.upstreams.get_mut(configured.key) {
             known.address = configured.address;
-            known.site = site;
+            known.attributes = attributes;
             return;
         }
         let upstream = Upstream {
             id: configured.id,
             pool: configured.pool,
             address: configured.address,
-            site,
-            part: Part::new(0),
+            attributes,
+            part: Quota::new(0),
             initialised: false,
             target: 0,
             applied: false,
@@ -214,15 +219,15 @@
             known.filter_map(|&key| Some((key, self.upstreams.get(key)?.partition_input())));
         let (keys, upstreams): (Vec<_>, Vec<_>) = known.unzip();
         let capacity = capacity(self.home, &upstreams);
-        let targets = partition::divide(now, self.own_id, &entries, &upstreams);
-        let initial = partition::start(self.own_id, self.home, &upstreams);
+        let targets = partition::target_quotas(now, self.own_id, &entries, &upstreams);
+        let initial = partition::initial_quotas(self.own_id, self.home, &upstreams);
         for (index, key) in keys.into_iter().enumerate() {
             let Some(upstream) = self.upstreams.get_mut(key) else {
                 continue;
             };
             if !upstream.initialised {
                 upstream.initialised = true;
-                upstream.part = Part::new(initial[index].min(targets[index]));
+                upstream.part = Quota::new(initial[index].min(targets[index]));
             }
             upstream.target = targets[index];
         }
@@ -238,7 +243,7 @@
     pub fn follow_targets(&mut self, now: Time) {
         for (key, upstream) in &mut self.upstreams {
             let before = upstream.part.slots();
-            let slots = upstream.part.follow(now, upstream.target);
+            let slots = upstream.part.set_target(now, upstream.target);
             if slots == before && upstream.applied {
                 continue;
             }
@@ -278,8 +283,8 @@
     fn partition_input(&self) -> partition::Upstream {
         partition::Upstream {
             id: self.id,
-            availability_zone: self.site.availability_zone,
-            slots: self.site.slots,
+            availability_zone: self.attributes.availability_zone,
+            slots: self.attributes.slots,
         }
     }
 }
--- a/crates/dispatch/src/engine/pool.rs
+++ b/crates/dispatch/src/engine/pool.rs
@@ -11,7 +11,7 @@
     Router,
     partition::{
         Demand,
-        MILLI, //
+        MILLISLOTS_PER_SLOT, //
     },
 };
 use slotmap::SecondaryMap;
@@ -132,9 +132,9 @@
     /// claim them at the same time, and gives the claim up at once when others need the slots.
     pub(super) fn report(&mut self, now: Time, others_demand: u64, others: u64) -> u64 {
         let own = self.demand.report(now);
-        let home_millislots = u64::from(self.capacity.home) * MILLI;
+        let home_millislots = u64::from(self.capacity.home) * MILLISLOTS_PER_SLOT;
         let claimed = others_demand + own + self.extra;
-        let pending = u64::from(self.pending) * MILLI;
+        let pending = u64::from(self.pending) * MILLISLOTS_PER_SLOT;
         let extra = match claimed > home_millislots {
             true => self.extra.saturating_sub(claimed - home_millislots),
             false => self.extra + (home_millislots - claimed) / (others + 1),
@@ -146,9 +146,9 @@
     fn record_demand(&mut self, now: Time) {
         // The number of arrivals in a service time varies by the square root of its mean. Slots follow a rise only
         // after two reports, so the demand includes this variation as far as the contracts cover it.
-        let spread = (self.cover.used * MILLI).isqrt();
+        let spread = (self.cover.used * MILLISLOTS_PER_SLOT).isqrt();
         let slots = self.cover.used + spread.min(self.cover.room);
-        let slots = u32::try_from(slots.div_ceil(MILLI));
+        let slots = u32::try_from(slots.div_ceil(MILLISLOTS_PER_SLOT));
         self.demand.record(now, slots.unwrap_or(u32::MAX));
     }
 }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -16,7 +16,7 @@
     Snapshot,
     engine::Limit, //
 };
-use sassafrascrank_route::Report;
+use sassafrascrank_route::AttemptResult;
 use slotmap::SlotMap;
 
 /// One engine with the keys of its configuration.
@@ -115,7 +115,7 @@
     assert_eq!(fixture.poll(), [first]);
     let second = fixture.arrive(0, "brisa").unwrap();
     assert_eq!(fixture.poll(), []);
-    let report = Report::Answered(Duration::from_millis(5));
+    let report = AttemptResult::Answered(Duration::from_millis(5));
     fixture.engine.finish(fixture.now, first, report);
     assert_eq!(fixture.poll(), [second]);
 }
@@ -128,7 +128,9 @@
     for _ in 0..5 {
         let caller = fixture.arrive(0, "alba").unwrap();
         assert_eq!(fixture.poll(), [caller]);
-        fixture.engine.finish(fixture.now, caller, Report::Lost);
+        fixture
+            .engine
+            .finish(fixture.now, caller, AttemptResult::Lost);
         fixture.poll();
     }
     let refusal = fixture.arrive(0, "alba").unwrap_err();
@@ -156,7 +158,9 @@
     assert_eq!(fixture.poll(), running);
     let queued = fixture.arrive(0, "alba").unwrap();
     for caller in running {
-        fixture.engine.finish(fixture.now, caller, Report::Lost);
+        fixture
+            .engine
+            .finish(fixture.now, caller, AttemptResult::Lost);
     }
     assert_eq!(fixture.poll(), []);
     fixture.now = fixture.engine.next_wakeup().unwrap();
@@ -186,7 +190,7 @@
             }
         }
         fixture.wait(Duration::from_millis(100));
-        let report = Report::Answered(Duration::from_millis(100));
+        let report = AttemptResult::Answered(Duration::from_millis(100));
         for caller in core::mem::take(&mut running) {
             fixture.engine.finish(fixture.now, caller, report);
         }
@@ -215,7 +219,7 @@
     assert_eq!(fixture.poll(), [caller]);
     fixture
         .engine
-        .finish(fixture.now, caller, Report::Unreachable);
+        .finish(fixture.now, caller, AttemptResult::Unreachable);
     let mut decisions = Vec::new();
     fixture.engine.poll(fixture.now, &mut decisions);
     let refused = decisions.iter().any(|decision| match decision {
