--- a/crates/dispatch/benches/decision.rs
+++ b/crates/dispatch/benches/decision.rs
@@ -94,8 +94,8 @@
         decisions.clear();
         fixture.engine.poll(fixture.now, &mut decisions);
         assert_eq!(decisions.len(), 1);
-        let report = AttemptResult::Answered(Duration::from_micros(10));
-        fixture.engine.finish(fixture.now, caller, report);
+        let result = AttemptResult::Answered(Duration::from_micros(10));
+        fixture.engine.finish(fixture.now, caller, result);
         callers.remove(caller.key);
     });
 }
--- a/crates/dispatch/src/engine/attempt.rs
+++ b/crates/dispatch/src/engine/attempt.rs
@@ -23,8 +23,8 @@
 }
 
 impl Failure {
-    fn new(report: AttemptResult) -> Option<Self> {
-        match report {
+    fn new(result: AttemptResult) -> Option<Self> {
+        match result {
             AttemptResult::Answered(_) | AttemptResult::Failed(_) | AttemptResult::Cancelled => {
                 None
             }
@@ -43,9 +43,9 @@
         now: Time,
         key: ticket::Key,
         upstream: upstream::Key,
-        report: AttemptResult,
+        result: AttemptResult,
     ) {
-        let Some(failure) = Failure::new(report) else {
+        let Some(failure) = Failure::new(result) else {
             self.remove_ticket(now, key);
             return;
         };
@@ -67,7 +67,7 @@
         let retryable = ticket.arrival.idempotent || matches!(failure, Failure::Unsent(_));
         let failed = ticket.failed;
         // An idle connection that the upstream closed is no sign of a failure, so the first retry starts at once.
-        let immediate = report == AttemptResult::Stale && failed == 1;
+        let immediate = result == AttemptResult::Stale && failed == 1;
         let allowed = retryable && self.charge_retry(now, key, immediate);
         let at = match allowed {
             true if immediate => now,
--- a/crates/dispatch/src/engine/configure.rs
+++ b/crates/dispatch/src/engine/configure.rs
@@ -31,16 +31,16 @@
         self.divide_slots(now);
     }
 
-    /// Sends no new requests to an upstream that is leaving; returns whether this is the first sign that it leaves.
+    /// Sends no new requests to an upstream that is leaving; returns whether this is the first sign of that.
     pub fn drain_upstream(
         &mut self,
         now: Time,
         upstream: upstream::Key,
-        sign: DrainSource,
+        source: DrainSource,
     ) -> bool {
         let pool = self.upstreams.get(upstream);
         let pool = pool.and_then(|upstream| self.pools.get_mut(upstream.pool));
-        pool.is_some_and(|pool| pool.router.drain(now, upstream, sign))
+        pool.is_some_and(|pool| pool.router.drain(now, upstream, source))
     }
 
     pub(super) fn set_contract_fraction(&mut self, now: Time, fraction: Fraction) {
--- a/crates/dispatch/src/engine/engine.rs
+++ b/crates/dispatch/src/engine/engine.rs
@@ -148,7 +148,7 @@
     ///
     /// An answer ends the request. After a failure, the request is retried unless that could run a non-idempotent
     /// request twice or a limit forbids it; otherwise [`Engine::poll`] refuses it.
-    pub fn finish(&mut self, now: Time, caller: caller::Handle, report: AttemptResult) {
+    pub fn finish(&mut self, now: Time, caller: caller::Handle, result: AttemptResult) {
         let Some(key) = self.lookup(caller) else {
             return;
         };
@@ -163,8 +163,8 @@
         else {
             return;
         };
-        self.release_slot(now, ticket.arrival.pool, upstream, &grant, since, report);
-        self.after_attempt(now, key, upstream, report);
+        self.release_slot(now, ticket.arrival.pool, upstream, &grant, since, result);
+        self.after_attempt(now, key, upstream, result);
     }
 
     /// Removes a request whose caller has disconnected.
@@ -277,11 +277,11 @@
         upstream: upstream::Key,
         grant: &Grant,
         since: Time,
-        report: AttemptResult,
+        result: AttemptResult,
     ) {
         let actual = now.since(since);
         if let Some(pool) = self.pools.get_mut(pool_key) {
-            pool.router.release(now, upstream, report);
+            pool.router.release(now, upstream, result);
             pool.queue.finish(now, grant, actual);
             pool.dirty = true;
         }
@@ -290,7 +290,7 @@
         };
         let limited = customer.running >= customer.concurrency;
         customer.running = customer.running.saturating_sub(1);
-        if let AttemptResult::Answered(_) = report {
+        if let AttemptResult::Answered(_) = result {
             customer.record_cost(pool_key, grant.class, actual);
         }
         if limited {
--- a/crates/dispatch/src/engine/partition.rs
+++ b/crates/dispatch/src/engine/partition.rs
@@ -17,19 +17,19 @@
     },
 };
 
-/// An upstream and the part of its slots that this entry uses.
+/// An upstream and this entry's quota of its slots.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) id: u64,
     pub(super) pool: pool::Key,
     pub(super) address: SocketAddr,
     attributes: Attributes,
-    part: Quota,
-    /// Whether `part` has been set for the first time.
+    quota: Quota,
+    /// Whether `quota` has been set for the first time.
     initialised: bool,
-    /// Slots by the latest division; `part` follows them with a delay.
+    /// Slots by the latest division; `quota` follows them with a delay.
     target: u32,
-    /// Whether the router has been given the slots of `part`.
+    /// Whether the router has been given the slots of `quota`.
     applied: bool,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds an entry whose membership has become known, so that it gets its part before its first report.
+    /// Adds an entry whose membership has become known, so that it gets its quotas before its first report.
     pub fn add_peer(&mut self, now: Time, id: u64, availability_zone: availability_zone::Key) {
         if id == self.own_id || self.peers.iter().any(|peer| peer.id == id) {
             return;
@@ -187,7 +187,7 @@
             pool: configured.pool,
             address: configured.address,
             attributes,
-            part: Quota::new(0),
+            quota: Quota::new(0),
             initialised: false,
             target: 0,
             applied: false,
@@ -227,7 +227,7 @@
             };
             if !upstream.initialised {
                 upstream.initialised = true;
-                upstream.part = Quota::new(initial[index].min(targets[index]));
+                upstream.quota = Quota::new(initial[index].min(targets[index]));
             }
             upstream.target = targets[index];
         }
@@ -242,8 +242,8 @@
     /// delay.
     pub fn follow_targets(&mut self, now: Time) {
         for (key, upstream) in &mut self.upstreams {
-            let before = upstream.part.slots();
-            let slots = upstream.part.set_target(now, upstream.target);
+            let before = upstream.quota.slots();
+            let slots = upstream.quota.set_target(now, upstream.target);
             if slots == before && upstream.applied {
                 continue;
             }
--- a/crates/dispatch/tests/common/check.rs
+++ b/crates/dispatch/tests/common/check.rs
@@ -180,16 +180,16 @@
         &mut self,
         _now: Time,
         caller: caller::Handle,
-        report: AttemptResult,
+        result: AttemptResult,
     ) -> bool {
         let Some(request) = self.open.get_mut(&caller) else {
             return false;
         };
         request.running = None;
-        request.last = Some(report);
+        request.last = Some(result);
         request.may_have_run |=
-            !matches!(report, AttemptResult::Stale | AttemptResult::Unreachable);
-        let name = match report {
+            !matches!(result, AttemptResult::Stale | AttemptResult::Unreachable);
+        let name = match result {
             AttemptResult::Answered(_) => "attempt answered",
             AttemptResult::Failed(_) => "attempt failed",
             AttemptResult::Unreachable => "attempt unreachable",
@@ -199,7 +199,7 @@
             AttemptResult::Cancelled => "attempt cancelled",
         };
         if matches!(
-            report,
+            result,
             AttemptResult::Answered(_) | AttemptResult::Failed(_)
         ) {
             self.open.remove(&caller);
@@ -226,10 +226,10 @@
         Some(caller)
     }
 
-    pub(crate) fn drained(&mut self, upstream: upstream::Key, sign: DrainSource, first: bool) {
+    pub(crate) fn drained(&mut self, upstream: upstream::Key, source: DrainSource, first: bool) {
         self.drained.insert(upstream);
         if first {
-            self.count(&format!("drain sign: {sign:?}"));
+            self.count(&format!("drain sign: {source:?}"));
         }
     }
 
--- a/crates/dispatch/tests/common/simulation.rs
+++ b/crates/dispatch/tests/common/simulation.rs
@@ -173,9 +173,9 @@
             .attempt_ends
             .extract_if(.., |(at, ..)| *at <= now)
             .collect();
-        for (_, caller, report) in due {
-            if self.check.finished(now, caller, report) {
-                self.engine.finish(now, caller, report);
+        for (_, caller, result) in due {
+            if self.check.finished(now, caller, result) {
+                self.engine.finish(now, caller, result);
             }
         }
     }
@@ -211,7 +211,7 @@
     fn start_attempt(&mut self, caller: caller::Handle, until: Time) {
         let service = Duration::from_millis(self.random.random_range(1..60));
         let early = Duration::from_millis(self.random.random_range(0..3));
-        let report = match self.chance(self.profile.fault) {
+        let result = match self.chance(self.profile.fault) {
             false => AttemptResult::Answered(service),
             true => match self.random.random_range(0..6) {
                 0 => AttemptResult::Unreachable,
@@ -221,15 +221,15 @@
                 _ => AttemptResult::TimedOut,
             },
         };
-        let (at, report) = match report {
+        let (at, result) = match result {
             AttemptResult::Answered(span) if self.now + span > until => {
                 (until, AttemptResult::TimedOut)
             }
-            AttemptResult::Answered(span) => (self.now + span, report),
-            AttemptResult::TimedOut => (until, report),
-            _ => ((self.now + early).min(until), report),
+            AttemptResult::Answered(span) => (self.now + span, result),
+            AttemptResult::TimedOut => (until, result),
+            _ => ((self.now + early).min(until), result),
         };
-        self.attempt_ends.push((at, caller, report));
+        self.attempt_ends.push((at, caller, result));
     }
 
     fn arrive(&mut self) {
@@ -264,17 +264,17 @@
     }
 
     fn drain_upstream(&mut self) {
-        let signs = [
+        let sources = [
             DrainSource::Response,
             DrainSource::Connection,
             DrainSource::Peer,
         ];
-        let sign = signs[self.random.random_range(0..3)];
+        let source = sources[self.random.random_range(0..3)];
         let count = self.snapshot.upstreams.len();
         if count > 0 {
             let upstream = self.snapshot.upstreams[self.random.random_range(0..count)].key;
-            let first = self.engine.drain_upstream(self.now, upstream, sign);
-            self.check.drained(upstream, sign, first);
+            let first = self.engine.drain_upstream(self.now, upstream, source);
+            self.check.drained(upstream, source, first);
         }
     }
 
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -115,8 +115,8 @@
     assert_eq!(fixture.poll(), [first]);
     let second = fixture.arrive(0, "brisa").unwrap();
     assert_eq!(fixture.poll(), []);
-    let report = AttemptResult::Answered(Duration::from_millis(5));
-    fixture.engine.finish(fixture.now, first, report);
+    let result = AttemptResult::Answered(Duration::from_millis(5));
+    fixture.engine.finish(fixture.now, first, result);
     assert_eq!(fixture.poll(), [second]);
 }
 
@@ -190,9 +190,9 @@
             }
         }
         fixture.wait(Duration::from_millis(100));
-        let report = AttemptResult::Answered(Duration::from_millis(100));
+        let result = AttemptResult::Answered(Duration::from_millis(100));
         for caller in core::mem::take(&mut running) {
-            fixture.engine.finish(fixture.now, caller, report);
+            fixture.engine.finish(fixture.now, caller, result);
         }
         for (caller, upstream) in fixture.forwards() {
             let owner = usize::from(callers[1].contains(&caller));
