--- a/crates/daemon/src/dispatch/dispatch.rs
+++ b/crates/daemon/src/dispatch/dispatch.rs
@@ -212,16 +212,16 @@
             } => self.arrive(now, id, arrival, idempotency.as_ref()),
             Message::Finish {
                 caller,
-                report,
+                result,
                 answer,
-            } => self.finish(now, caller, report, answer),
+            } => self.finish(now, caller, result, answer),
             Message::Cancel { caller } => {
                 self.journal.cancelled(now, caller);
                 self.keyed.refused(now, caller, Outcome::Unknown);
                 self.engine.cancel(now, caller);
             }
-            Message::Draining { upstream, sign } => {
-                if self.drain_upstream(now, upstream, sign) {
+            Message::Draining { upstream, source } => {
+                if self.drain_upstream(now, upstream, source) {
                     self.spread_sign(upstream);
                 }
             }
@@ -292,7 +292,7 @@
 
     fn redirect(&mut self, now: Time, caller: caller::Handle, address: SocketAddr) {
         self.journal.forwarded(now, caller);
-        self.port.reply(Reply::Redirect { caller, address });
+        self.port.reply(Reply::ForwardToOwner { caller, address });
     }
 
     fn send_decisions(&mut self, now: Time) {
--- a/crates/exchange/src/message/message.rs
+++ b/crates/exchange/src/message/message.rs
@@ -33,7 +33,7 @@
         /// Whose attempt.
         caller: caller::Handle,
         /// How it ended.
-        report: AttemptResult,
+        result: AttemptResult,
         /// The answer, for a request that may run only once.
         answer: Option<Arc<Answer>>,
     },
@@ -47,7 +47,7 @@
         /// The upstream.
         upstream: upstream::Key,
         /// How that became known.
-        sign: DrainSource,
+        source: DrainSource,
     },
 }
 
@@ -89,7 +89,7 @@
         answer: Arc<Answer>,
     },
     /// Forward the request to the entry that owns its key.
-    Redirect {
+    ForwardToOwner {
         /// Who waits for it.
         caller: caller::Handle,
         /// Listener for callers of that entry.
@@ -122,7 +122,7 @@
             Self::Forward { caller, .. }
             | Self::Refuse { caller, .. }
             | Self::Replay { caller, .. }
-            | Self::Redirect { caller, .. } => *caller,
+            | Self::ForwardToOwner { caller, .. } => *caller,
         }
     }
 }
--- a/crates/exchange/src/server/admission.rs
+++ b/crates/exchange/src/server/admission.rs
@@ -1,7 +1,7 @@
 //! Check of a request before the dispatch thread hears of it.
 
 use super::{
-    Answered,
+    ResponseBody,
     context::Context,
     job::Job,
     request::{
@@ -40,7 +40,10 @@
 const OVERLOAD_WAIT: Duration = Duration::from_secs(1);
 
 /// Serves one request.
-pub(super) async fn serve(context: Rc<Context>, request: Request<Incoming>) -> Response<Answered> {
+pub(super) async fn serve(
+    context: Rc<Context>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     // HTTP/2 has no such header; its connections are told to close by a frame of their own.
     let closable = request.version() <= Version::HTTP_11;
     let mut response = admit(&context, request).await;
@@ -52,7 +55,7 @@
     response
 }
 
-async fn admit(context: &Rc<Context>, request: Request<Incoming>) -> Response<Answered> {
+async fn admit(context: &Rc<Context>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let keyed = is_keyed(&parts);
     let directory = context.directory.borrow().clone();
@@ -88,7 +91,7 @@
     waiter: Waiter,
     head: Head,
     outgoing: Outgoing,
-) -> Response<Answered> {
+) -> Response<ResponseBody> {
     let deadline = Instant::now() + head.deadline.since((context.clock)());
     let once = !head.idempotent;
     let job = Job::new(context.clone(), id, waiter, head, outgoing);
@@ -106,7 +109,7 @@
     }
 }
 
-fn refuse_body(context: &Context, error: request::Error, keyed: bool) -> Response<Answered> {
+fn refuse_body(context: &Context, error: request::Error, keyed: bool) -> Response<ResponseBody> {
     let (refusal, status) = match error {
         request::Error::Broken(_) => (refusal(Reason::Malformed, keyed), None),
         request::Error::TooLarge(_) => {
--- a/crates/exchange/src/server/body.rs
+++ b/crates/exchange/src/server/body.rs
@@ -11,7 +11,7 @@
 };
 
 /// Body of a request to an upstream: held for a retry, or streamed from the caller.
-pub type Body = Either<Full<Bytes>, Upload>;
+pub type RequestBody = Either<Full<Bytes>, Upload>;
 
 /// Body of a response to a caller: whole, or streamed from the upstream.
-pub type Answered = Either<Full<Bytes>, Relay>;
+pub type ResponseBody = Either<Full<Bytes>, Relay>;
--- a/crates/exchange/src/server/job.rs
+++ b/crates/exchange/src/server/job.rs
@@ -1,7 +1,7 @@
 //! Life of one request on its exchange thread.
 
 use super::{
-    Answered,
+    ResponseBody,
     admission::overloaded,
     context::Context,
     relay::Ending,
@@ -97,7 +97,7 @@
     }
 
     /// Waits for the decisions on the request and carries them out until it has an answer or a refusal.
-    pub(super) async fn run(mut self) -> Response<Answered> {
+    pub(super) async fn run(mut self) -> Response<ResponseBody> {
         if !self.arrive() {
             let refusal = overloaded(self.head.key.is_some());
             self.context.record_refusal(&refusal);
@@ -117,7 +117,7 @@
                     self.admitted = false;
                     return replay(&answer);
                 }
-                Reply::Redirect { address, .. } => {
+                Reply::ForwardToOwner { address, .. } => {
                     self.admitted = false;
                     return self.redirect(address).await;
                 }
@@ -157,7 +157,7 @@
     }
 
     /// Makes one attempt; returns `None` if the dispatch thread has to decide what comes next.
-    async fn forward(&mut self, target: Target, until: Time) -> Option<Response<Answered>> {
+    async fn forward(&mut self, target: Target, until: Time) -> Option<Response<ResponseBody>> {
         let started = (self.context.clock)();
         let deadline = Instant::now() + until.since(started);
         let Some(request) = self.outgoing.request(Some(&self.head.account), deadline) else {
@@ -168,19 +168,19 @@
         let attempt = attempt(&self.context.connections, target.address, request, fresh);
         let (response, connection) = match timeout_at(deadline, attempt).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(Failure::Unsent(report, request))) => {
+            Ok(Err(Failure::Unsent(result, request))) => {
                 self.outgoing.restore(*request);
-                self.finish(report, None);
+                self.finish(result, None);
                 return None;
             }
             Ok(Err(Failure::Sent)) => return self.fail(AttemptResult::Lost),
             Err(_) => return self.fail(AttemptResult::TimedOut),
         };
         if response.headers().contains_key(header::DRAINING) {
-            let (upstream, sign) = (target.upstream, DrainSource::Response);
+            let (upstream, source) = (target.upstream, DrainSource::Response);
             self.context
                 .outbox
-                .send(Message::Draining { upstream, sign });
+                .send(Message::Draining { upstream, source });
         }
         let latency = (self.context.clock)().since(started);
         let ending = self.ending(connection, latency, response.status().is_server_error())?;
@@ -198,9 +198,9 @@
     }
 
     /// Ends an attempt that may have run; the dispatch thread decides what comes next, unless the caller is to blame.
-    fn fail(&mut self, report: AttemptResult) -> Option<Response<Answered>> {
-        if !self.outgoing.is_blamed(report) {
-            self.finish(report, None);
+    fn fail(&mut self, result: AttemptResult) -> Option<Response<ResponseBody>> {
+        if !self.outgoing.is_blamed(result) {
+            self.finish(result, None);
             return None;
         }
         self.finish(AttemptResult::Cancelled, None);
@@ -216,7 +216,7 @@
         response: Response<Incoming>,
         deadline: Instant,
         mut ending: Ending,
-    ) -> Option<Response<Answered>> {
+    ) -> Option<Response<ResponseBody>> {
         let (parts, mut body) = response.into_parts();
         let mut head = VecDeque::new();
         let mut size = 0;
@@ -261,17 +261,17 @@
     fn answer_lost(
         &mut self,
         mut ending: Ending,
-        report: AttemptResult,
-    ) -> Option<Response<Answered>> {
+        result: AttemptResult,
+    ) -> Option<Response<ResponseBody>> {
         // The report needs the waiter, which names the caller.
-        ending.report(report);
+        ending.report(result);
         self.waiter = ending.waiter.take();
         self.admitted = true;
         None
     }
 
     /// Forwards the request to the entry that owns its key.
-    async fn redirect(&mut self, address: SocketAddr) -> Response<Answered> {
+    async fn redirect(&mut self, address: SocketAddr) -> Response<ResponseBody> {
         let unreachable = Refusal::unknown(Reason::OwnerUnreachable);
         let remaining = self.head.deadline.since((self.context.clock)());
         let deadline = Instant::now() + remaining;
@@ -316,12 +316,12 @@
         })
     }
 
-    fn finish(&self, report: AttemptResult, answer: Option<Arc<Answer>>) {
+    fn finish(&self, result: AttemptResult, answer: Option<Arc<Answer>>) {
         if let Some(waiter) = &self.waiter {
             let caller = waiter.handle;
             self.context.outbox.send(Message::Finish {
                 caller,
-                report,
+                result,
                 answer,
             });
         }
--- a/crates/exchange/src/server/limit.rs
+++ b/crates/exchange/src/server/limit.rs
@@ -21,7 +21,7 @@
     /// Longest time for a caller to send the head of a request.
     pub head_timeout: Duration,
     /// Longest wait for the next request of a new or idle connection after the thread has closed.
-    pub idle_linger: Duration,
+    pub idle_close_timeout: Duration,
     /// Longest time for a caller to send a body that is held.
     pub body_timeout: Duration,
 }
@@ -47,7 +47,7 @@
             buffer_bytes: 32 * 1_024 * 1_024,
             head_bytes: 64 * 1_024,
             head_timeout: Duration::from_secs(10),
-            idle_linger: Duration::from_secs(3),
+            idle_close_timeout: Duration::from_secs(3),
             body_timeout: Duration::from_secs(30),
         }
     }
--- a/crates/exchange/src/server/listener.rs
+++ b/crates/exchange/src/server/listener.rs
@@ -106,7 +106,9 @@
         // The caller of a new or idle connection has not been told to go elsewhere. Its next request is still served,
         // with an answer that tells it; an idle connection that is closed at once cuts a request on its way.
         served.mark_unchanged();
-        timeout(limit.idle_linger, served.changed()).await.ok();
+        timeout(limit.idle_close_timeout, served.changed())
+            .await
+            .ok();
     };
     // An error ends only this connection; its requests have been told to the dispatch thread.
     tokio::select! {
--- a/crates/exchange/src/server/mod.rs
+++ b/crates/exchange/src/server/mod.rs
@@ -16,8 +16,8 @@
 mod waiter;
 
 pub use body::{
-    Answered,
-    Body, //
+    RequestBody, //
+    ResponseBody,
 };
 pub use exchange::{
     Control,
--- a/crates/exchange/src/server/relay.rs
+++ b/crates/exchange/src/server/relay.rs
@@ -90,7 +90,7 @@
 
 impl Ending {
     /// Reports the end of the attempt once; later calls do nothing.
-    pub(super) fn report(&mut self, report: AttemptResult) {
+    pub(super) fn report(&mut self, result: AttemptResult) {
         if core::mem::replace(&mut self.reported, true) {
             return;
         }
@@ -101,7 +101,7 @@
         let answer = self.answer.take();
         self.outbox.send(Message::Finish {
             caller,
-            report,
+            result,
             answer,
         });
     }
@@ -116,23 +116,23 @@
         if let Some(connection) = self.connection.take() {
             self.connections.put_back(connection);
         }
-        let report = match self.failed {
+        let result = match self.failed {
             true => AttemptResult::Failed(self.latency),
             false => AttemptResult::Answered(self.latency),
         };
-        self.report(report);
+        self.report(result);
     }
 }
 
 impl Ending {
     /// Ends an attempt whose answer the caller has got a part of, so that no other attempt can follow.
-    fn give_up(&mut self, report: AttemptResult) {
+    fn give_up(&mut self, result: AttemptResult) {
         // Closes the connection, whatever is still on its way there.
         self.connection = None;
         if self.reported {
             return;
         }
-        self.report(report);
+        self.report(result);
         if let Some(waiter) = &self.waiter {
             let caller = waiter.handle;
             self.outbox.send(Message::Cancel { caller });
--- a/crates/exchange/src/server/request.rs
+++ b/crates/exchange/src/server/request.rs
@@ -1,7 +1,7 @@
 //! The request of a caller, made ready for one or more attempts.
 
 use super::{
-    Body, Limit,
+    Limit, RequestBody,
     upload::{
         Flow,
         Upload, //
@@ -161,7 +161,7 @@
         &mut self,
         account: Option<&Account>,
         until: Instant,
-    ) -> Option<Request<Body>> {
+    ) -> Option<Request<RequestBody>> {
         let body = match &mut self.body {
             Source::Held(bytes) => Either::Left(Full::new(bytes.clone())),
             Source::Streamed(body) => {
@@ -196,17 +196,17 @@
     }
 
     /// Takes the body back from a request that was not sent.
-    pub(super) fn restore(&mut self, request: Request<Body>) {
+    pub(super) fn restore(&mut self, request: Request<RequestBody>) {
         if let Either::Right(body) = request.into_body() {
             self.body = Source::Streamed(Some(body.into_incoming()));
         }
     }
 
-    /// Tells whether the caller is to blame for an attempt that ended with `report`.
-    pub(super) fn is_blamed(&self, report: AttemptResult) -> bool {
+    /// Tells whether the caller is to blame for an attempt that ended with `result`.
+    pub(super) fn is_blamed(&self, result: AttemptResult) -> bool {
         match self.flow.get() {
             Flow::Ready => false,
-            Flow::Starved => report == AttemptResult::TimedOut,
+            Flow::Starved => result == AttemptResult::TimedOut,
             Flow::Broken => true,
         }
     }
--- a/crates/exchange/src/server/response.rs
+++ b/crates/exchange/src/server/response.rs
@@ -1,7 +1,7 @@
 //! Responses to callers.
 
 use super::{
-    Answered,
+    ResponseBody,
     relay::{
         Ending,
         Relay, //
@@ -45,7 +45,7 @@
     deadline: Instant,
     ending: Ending,
     source: Source,
-) -> Response<Answered> {
+) -> Response<ResponseBody> {
     let (mut parts, incoming) = response.into_parts();
     remove_connection_headers(&mut parts.headers);
     let answered = HeaderValue::from_static(Outcome::Answered.as_str());
@@ -59,7 +59,7 @@
 }
 
 /// Gives an answer that is kept.
-pub(super) fn replay(answer: &Answer) -> Response<Answered> {
+pub(super) fn replay(answer: &Answer) -> Response<ResponseBody> {
     let Some(body) = &answer.body else {
         let dropped = Refusal {
             outcome: Outcome::Answered,
@@ -76,7 +76,7 @@
 }
 
 /// Refuses a request.
-pub(super) fn problem(problem: Problem) -> Response<Answered> {
+pub(super) fn problem(problem: Problem) -> Response<ResponseBody> {
     problem
         .into_response()
         .map(|body| Either::Left(Full::new(body)))
--- a/crates/exchange/src/upstream/attempt.rs
+++ b/crates/exchange/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
     Connection,
     Connections, //
 };
-use crate::server::Body;
+use crate::server::RequestBody;
 use core::net::SocketAddr;
 use hyper::{
     Request,
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub enum Failure {
     /// Nothing was sent; the request is given back.
-    Unsent(AttemptResult, Box<Request<Body>>),
+    Unsent(AttemptResult, Box<Request<RequestBody>>),
     /// The request may have reached the upstream.
     Sent,
 }
@@ -33,7 +33,7 @@
 pub async fn attempt(
     connections: &Connections,
     address: SocketAddr,
-    request: Request<Body>,
+    request: Request<RequestBody>,
     fresh: bool,
 ) -> Result<(Response<Incoming>, Connection), Failure> {
     let idle = match fresh {
--- a/crates/exchange/src/upstream/connection.rs
+++ b/crates/exchange/src/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! Idle connections by address.
 
-use crate::server::Body;
+use crate::server::RequestBody;
 use core::net::SocketAddr;
 use hyper::client::conn::http1::{
     SendRequest,
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Connection {
     /// Sends requests on the connection.
-    pub sender: SendRequest<Body>,
+    pub sender: SendRequest<RequestBody>,
     /// Whether the connection has carried a request before; its peer may have closed it since.
     pub reused: bool,
     /// Other end of the connection.
--- a/crates/exchange/tests/attempt.rs
+++ b/crates/exchange/tests/attempt.rs
@@ -14,7 +14,7 @@
 };
 use hyper::Request;
 use sassafrascrank_exchange::{
-    server::Body,
+    server::RequestBody,
     upstream::{
         Connections,
         Failure,
@@ -26,7 +26,7 @@
     yield_now, //
 };
 
-fn request(path: &str) -> Request<Body> {
+fn request(path: &str) -> Request<RequestBody> {
     let body = Either::Left(Full::new(Bytes::from("body")));
     Request::put(path)
         .header("host", "entry")
@@ -64,10 +64,10 @@
         let failure = attempt(&connections, address, request("/2"), false)
             .await
             .unwrap_err();
-        let Failure::Unsent(report, given_back) = failure else {
+        let Failure::Unsent(result, given_back) = failure else {
             panic!("the request counts as sent");
         };
-        assert_eq!(format!("{report:?}"), "Stale");
+        assert_eq!(format!("{result:?}"), "Stale");
         let second = attempt(&connections, address, *given_back, false);
         let serve = async {
             let mut peer = Peer::accept(&listener).await;
--- a/crates/exchange/tests/common/dispatch.rs
+++ b/crates/exchange/tests/common/dispatch.rs
@@ -89,14 +89,14 @@
             let keyed = idempotency.is_some();
             format!("arrive idempotent={} keyed={keyed}", arrival.idempotent)
         }
-        Message::Finish { report, answer, .. } => match answer {
-            None => format!("finish {report:?}"),
+        Message::Finish { result, answer, .. } => match answer {
+            None => format!("finish {result:?}"),
             Some(answer) => {
                 let kept = answer.body.as_ref().map(|body| body.len());
-                format!("finish {report:?} kept={kept:?}")
+                format!("finish {result:?} kept={kept:?}")
             }
         },
         Message::Cancel { .. } => "cancel".to_owned(),
-        Message::Draining { sign, .. } => format!("draining {sign:?}"),
+        Message::Draining { source, .. } => format!("draining {source:?}"),
     }
 }
