--- a/crates/exchange/src/caller/directory.rs
+++ b/crates/exchange/src/caller/directory.rs
@@ -1,4 +1,4 @@
-//! Customers by credential and pools by name.
+//! Look-up of customers by credential and of pools by name.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_contract::model;
@@ -17,20 +17,20 @@
 };
 use subtle::ConstantTimeEq;
 
-/// What an exchange thread knows of the configuration in force.
+/// Customers and pools of the configuration in force, as an exchange thread needs them.
 #[derive(Debug, Default)]
 pub struct Directory {
     accounts: Vec<Account>,
-    /// Positions in `accounts` by the keyed hash of the digest.
+    /// Positions in `accounts` by the keyed hash of the credential's digest.
     ///
-    /// Two digests share a hash of 64 bits with a probability of 3e-14 at 1,000 customers; the next configuration
-    /// draws another key.
+    /// Of two digests with the same 64-bit hash only one would be found. With 1,000 customers the probability is 3e-14,
+    /// and the next configuration uses a new hash key.
     index: HashMap<u64, usize>,
-    key: RandomState,
+    hash_key: RandomState,
     pools: HashMap<Name, pool::Key>,
 }
 
-/// A customer as its credential identifies it.
+/// Customer that a credential identifies.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// Key of the customer.
@@ -42,13 +42,13 @@
 }
 
 impl Directory {
-    /// Finds the customer whose contract holds the digest of `credential`.
+    /// Returns the customer whose contract contains the digest of `credential`.
     ///
-    /// The hash is keyed by a secret of this process, so the time of the look-up tells nothing about the digests, and
-    /// the one comparison takes constant time.
+    /// The hash uses a secret key of this process, so the duration of the look-up reveals nothing about the digests, and
+    /// the final comparison takes constant time.
     pub fn authenticate(&self, credential: &[u8]) -> Option<&Account> {
         let digest = Sha256::digest(credential);
-        let position = self.index.get(&self.key.hash_one(digest.as_slice()))?;
+        let position = self.index.get(&self.hash_key.hash_one(digest.as_slice()))?;
         let account = self.accounts.get(*position)?;
         let equal = account.contract.digest.ct_eq(digest.as_slice());
         bool::from(equal).then_some(account)
@@ -72,16 +72,16 @@
             .iter()
             .map(|pool| (pool.name.clone(), pool.key));
         let accounts: Vec<Account> = accounts.collect();
-        let key = RandomState::new();
+        let hash_key = RandomState::new();
         let index = accounts
             .iter()
             .enumerate()
-            .map(|(position, account)| (key.hash_one(&account.contract.digest[..]), position))
+            .map(|(position, account)| (hash_key.hash_one(&account.contract.digest[..]), position))
             .collect();
         Self {
             accounts,
             index,
-            key,
+            hash_key,
             pools: pools.collect(),
         }
     }
--- a/crates/exchange/src/caller/head.rs
+++ b/crates/exchange/src/caller/head.rs
@@ -1,4 +1,4 @@
-//! Head of a caller's request, checked.
+//! Validation of the head of a caller's request.
 
 use super::{
     Account,
@@ -22,33 +22,33 @@
 };
 use sassafrascrank_observe::event::request;
 
-/// Longest time in milliseconds that a caller may wait for, one day.
+/// Longest timeout in milliseconds that a caller may ask for: one day.
 const TIMEOUT_LIMIT_MS: u64 = 86_400_000;
 
-/// What the head of a request says about its admission.
+/// Parts of a request's head that decide about its admission.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Who sent it.
+    /// Customer that sent the request.
     pub account: Account,
-    /// Pool that is to answer it.
+    /// Pool whose upstreams may answer it.
     pub pool: pool::Key,
-    /// How urgent it is.
+    /// Urgency class.
     pub class: class::Index,
-    /// When its caller gives up.
+    /// Time at which its caller stops waiting.
     pub deadline: Time,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Key of a request that may run only once.
+    /// Idempotency key; present if the request may run only once.
     pub key: Option<Key>,
-    /// Id that another entry gave it before it forwarded it.
+    /// Id that another entry assigned before it forwarded the request.
     pub forwarded: Option<request::Id>,
 }
 
-/// A request that can't be admitted because of its head.
+/// Reason why the head of a request is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// No contract has this credential.
+    /// The credential is missing, or no contract has it.
     #[error("the credential is missing or unknown: send `Authorization: Bearer <credential>`")]
     Credential,
     /// A header is missing.
@@ -57,7 +57,7 @@
     /// A header has a value that is not allowed.
     #[error("header {0} has the value {1:?}: {2}")]
     Value(HeaderName, String, &'static str),
-    /// A header that may come once came several times.
+    /// A header that is allowed once occurs several times.
     #[error("header {0} came more than once: send it once")]
     Repeated(HeaderName),
     /// The idempotency key is not usable.
@@ -69,7 +69,7 @@
 }
 
 impl Error {
-    /// Returns the reason for the refusal.
+    /// Returns the reason code of the refusal.
     pub fn reason(&self) -> Reason {
         match self {
             Self::Credential => Reason::Unauthenticated,
@@ -82,11 +82,12 @@
 }
 
 impl Head {
-    /// Checks the head of a request that arrives now.
+    /// Checks the head of a request that arrives at `now`.
     ///
     /// # Errors
     ///
-    /// Names the header, its value and the remedy.
+    /// Fails if the credential is unknown, the contract does not cover the pool, or a header is missing, repeated or
+    /// invalid. The error names the header and the remedy.
     pub fn parse(now: Time, parts: &Parts, directory: &Directory) -> Result<Self, Error> {
         let headers = &parts.headers;
         let account = authenticate(headers, directory)?;
@@ -109,9 +110,10 @@
     }
 }
 
-/// Tells whether an earlier attempt of a request may have run: it is non-idempotent and has a usable key.
+/// Tells whether a request is non-idempotent and has a valid idempotency key.
 ///
-/// Only the owner of the key knows, so such a request is never refused as "not run" before the owner was asked.
+/// An earlier attempt of such a request may have run, and only the owner of the key knows. So the request is never
+/// refused as "not run" before the owner was asked.
 pub fn is_keyed(parts: &Parts) -> bool {
     let mut values = parts.headers.get_all(header::IDEMPOTENCY_KEY).iter();
     let usable = |value: &HeaderValue| value.to_str().is_ok_and(|key| key.parse::<Key>().is_ok());
@@ -124,7 +126,7 @@
 }
 
 fn authenticate<'a>(headers: &HeaderMap, directory: &'a Directory) -> Result<&'a Account, Error> {
-    let value = single(headers, &AUTHORIZATION)?.ok_or(Error::Credential)?;
+    let value = single_value(headers, &AUTHORIZATION)?.ok_or(Error::Credential)?;
     let credential = value
         .as_bytes()
         .strip_prefix(b"Bearer ")
@@ -138,7 +140,7 @@
     account: &Account,
 ) -> Result<pool::Key, Error> {
     let remedy = "name a pool of the contract";
-    let name = text(headers, &header::POOL)?.ok_or(Error::Missing(header::POOL, remedy))?;
+    let name = text_value(headers, &header::POOL)?.ok_or(Error::Missing(header::POOL, remedy))?;
     let covered = account
         .contract
         .shares
@@ -149,7 +151,7 @@
 }
 
 fn parse_class(headers: &HeaderMap, account: &Account) -> Result<class::Index, Error> {
-    let Some(name) = text(headers, &header::URGENCY)? else {
+    let Some(name) = text_value(headers, &header::URGENCY)? else {
         return Ok(class::Index(0));
     };
     let remedy = "name an urgency class of the contract";
@@ -160,7 +162,7 @@
 }
 
 fn parse_deadline(now: Time, headers: &HeaderMap) -> Result<Time, Error> {
-    let Some(value) = text(headers, &header::TIMEOUT)? else {
+    let Some(value) = text_value(headers, &header::TIMEOUT)? else {
         return Ok(now + Duration::from_millis(TIMEOUT_LIMIT_MS));
     };
     let remedy = "give 1 to 86400000 milliseconds";
@@ -175,13 +177,13 @@
 fn parse_key(headers: &HeaderMap) -> Result<Key, Error> {
     let name = header::IDEMPOTENCY_KEY;
     let missing = || Error::Missing(name.clone(), "send <availability zone>:<UUIDv7>");
-    let key = text(headers, &name)?.ok_or_else(missing)?;
+    let key = text_value(headers, &name)?.ok_or_else(missing)?;
     Ok(key.parse()?)
 }
 
 fn parse_forwarded(headers: &HeaderMap) -> Result<Option<request::Id>, Error> {
     let name = header::FORWARDED;
-    let Some(value) = text(headers, &name)? else {
+    let Some(value) = text_value(headers, &name)? else {
         return Ok(None);
     };
     let remedy = "only entry processes set it; leave it out";
@@ -191,8 +193,8 @@
     Ok(Some(id))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Error> {
-    let Some(value) = single(headers, name)? else {
+fn text_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Error> {
+    let Some(value) = single_value(headers, name)? else {
         return Ok(None);
     };
     let remedy = "use printable ASCII characters";
@@ -200,8 +202,13 @@
     value.to_str().map(Some).map_err(|_| error())
 }
 
-/// Returns the value of a header that may come once; two values could be understood differently on the way.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, Error> {
+/// Returns the value of a header that is allowed once.
+///
+/// Repeated headers are rejected because a proxy and a server could each use a different one of the values.
+fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a HeaderValue>, Error> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
     match values.next() {
--- a/crates/exchange/src/caller/mod.rs
+++ b/crates/exchange/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: headers, credentials, refusals.
+//! Requests of callers: headers, credentials and problem details of refusals.
 
 mod directory;
 mod head;
--- a/crates/exchange/src/caller/problem.rs
+++ b/crates/exchange/src/caller/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as problem details of RFC 9457.
+//! Problem details (RFC 9457) for refused requests.
 
 use super::header;
 use bytes::Bytes;
@@ -13,24 +13,24 @@
 use sassafrascrank_base::prelude::*;
 use serde::Serialize;
 
-/// Body of a refusal.
+/// JSON body of a refusal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 pub struct Problem {
-    /// Identifies the kind of problem.
+    /// URN of the kind of problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Reason code.
+    /// Reason code of the refusal.
     pub reason: &'static str,
-    /// What became of the request: `answered`, `not-run` or `unknown`.
+    /// Outcome of the request: `answered`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// What exactly was wrong.
+    /// Description of this occurrence of the problem.
     pub detail: String,
     /// What the caller can do.
     pub remedy: &'static str,
-    /// Time to wait in milliseconds before the next try.
+    /// Time in milliseconds to wait before the next try.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Problem {
-    /// Describes a refusal whose cause is known exactly.
+    /// Makes a problem with its own description instead of the general one of its reason.
     pub fn new(refusal: Refusal, detail: String) -> Self {
         Self {
             detail,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Returns the problem with another status than that of its reason, if there is one.
+    /// Replaces the status that belongs to the reason, if `status` is given.
     pub fn with_status(mut self, status: Option<StatusCode>) -> Self {
         self.status = status.map_or(self.status, |status| status.as_u16());
         self
     }
 
-    /// Makes the response for the caller.
+    /// Returns the HTTP response for the caller.
     pub fn into_response(self) -> Response<Bytes> {
         let body = serde_json::to_vec(&self).unwrap_or_default();
         let mut response = Response::new(Bytes::from(body));
@@ -77,7 +77,7 @@
         headers.insert(CONTENT_TYPE, content_type);
         headers.insert(header::OUTCOME, HeaderValue::from_static(self.outcome));
         if let Some(millis) = self.retry_after_ms {
-            // The header has whole seconds; the body has the exact time.
+            // The header holds whole seconds; the body holds the exact time.
             headers.insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(1_000)));
         }
         response
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,4 +1,7 @@
-//! Connections of callers and upstreams, on one thread that owns both ends of a request.
+//! HTTP proxy between callers and upstreams.
+//!
+//! An exchange thread accepts the connections of callers, asks the dispatch thread what to do with each request, and
+//! sends the request to an upstream over a connection of its own. Both ends of a request stay on that one thread.
 
 pub mod caller;
 pub mod message;
--- a/crates/exchange/src/message/answer.rs
+++ b/crates/exchange/src/message/answer.rs
@@ -1,4 +1,4 @@
-//! A whole answer that can be given again.
+//! Stored answer that can be sent again for a repeat of the same idempotency key.
 
 use bytes::Bytes;
 use hyper::{
@@ -6,19 +6,19 @@
     StatusCode, //
 };
 
-/// Answer of an upstream, kept for repeats of the same key.
+/// Answer of an upstream, stored for repeats of the same idempotency key.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status of the answer.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers without those that belong to a connection.
+    /// Headers without the hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Whole body, or `None` if it was too large to keep.
+    /// Complete body, or `None` if it was too large to store.
     pub body: Option<Bytes>,
 }
 
 impl Answer {
-    /// Returns the memory that the answer takes in bytes, roughly.
+    /// Returns the approximate memory use of the answer in bytes.
     pub fn size(&self) -> usize {
         let headers = self.headers.iter();
         let headers: usize = headers
--- a/crates/exchange/src/message/message.rs
+++ b/crates/exchange/src/message/message.rs
@@ -1,4 +1,4 @@
-//! Messages in both directions.
+//! Messages between an exchange thread and the dispatch thread, in both directions.
 
 use super::Answer;
 use core::net::SocketAddr;
@@ -16,83 +16,83 @@
 };
 use std::sync::Arc;
 
-/// From an exchange thread to the dispatch thread.
+/// Message from an exchange thread to the dispatch thread.
 #[derive(Debug)]
 pub enum Message {
-    /// A request asks for admission.
+    /// A request has arrived and needs a decision.
     Arrive {
-        /// Identifies the request over all processes.
+        /// Id of the request, unique across all processes.
         id: request::Id,
-        /// The request.
+        /// Facts about the request on which the decision depends.
         arrival: Arrival,
-        /// Present if the request may run only once.
+        /// Idempotency key and fingerprint; present if the request may run only once.
         idempotency: Option<Idempotency>,
     },
     /// An attempt has ended.
     Finish {
-        /// Whose attempt.
+        /// Caller whose request was attempted.
         caller: caller::Handle,
-        /// How it ended.
+        /// Result of the attempt.
         result: AttemptResult,
-        /// The answer, for a request that may run only once.
+        /// Answer to store for repeats; only for a request that may run only once.
         answer: Option<Arc<Answer>>,
     },
-    /// The caller has gone and nothing runs for it any more.
+    /// The caller has disconnected or been answered in part, and no attempt runs for it any more.
     Cancel {
-        /// The caller.
+        /// Caller whose request ends.
         caller: caller::Handle,
     },
-    /// An upstream is leaving.
+    /// An upstream is about to stop and takes no new requests.
     Draining {
-        /// The upstream.
+        /// Upstream that is draining.
         upstream: upstream::Key,
-        /// How that became known.
+        /// How this entry learned of it.
         source: DrainSource,
     },
 }
 
-/// What identifies a request that may run only once.
+/// Identity of a request that may run only once.
 #[derive(Clone, Debug)]
 pub struct Idempotency {
-    /// Key that the caller made.
+    /// Idempotency key that the caller generated.
     pub key: Key,
-    /// Digest of the customer and of everything that makes two requests the same.
+    /// Digest of the customer, method, target, pool and body; a repeat with the same key must have the same digest.
     pub fingerprint: u128,
     /// Whether another entry has forwarded the request to this one.
     pub forwarded: bool,
 }
 
-/// From the dispatch thread to an exchange thread.
+/// Message from the dispatch thread to an exchange thread.
 #[derive(Debug)]
 pub enum Reply {
     /// Send the request to this upstream.
     Forward {
-        /// Who waits for it.
+        /// Caller that waits for the reply.
         caller: caller::Handle,
-        /// Where to send it.
+        /// Upstream and its address.
         target: Target,
-        /// When the attempt is given up.
+        /// Time at which the attempt times out.
         until: Time,
     },
-    /// Tell the caller that the request ends here.
+    /// Refuse the request.
     Refuse {
-        /// Who waits for it.
+        /// Caller that waits for the reply.
         caller: caller::Handle,
-        /// What to tell.
+        /// Reason and outcome to send to the caller.
         refusal: Refusal,
     },
-    /// Give the answer of an earlier request with the same key.
+    /// Send the stored answer of an earlier request with the same key.
     Replay {
-        /// Who waits for it.
+        /// Caller that waits for the reply.
         caller: caller::Handle,
-        /// The answer.
+        /// Stored answer.
         answer: Arc<Answer>,
     },
     /// Forward the request to the entry that owns its key.
     ForwardToOwner {
-        /// Who waits for it.
+        /// Caller that waits for the reply.
         caller: caller::Handle,
-        /// Listener for callers of that entry.
+        /// Address at which that entry accepts callers.
         address: SocketAddr,
     },
 }
@@ -116,7 +116,7 @@
 }
 
 impl Reply {
-    /// Returns who waits for this reply.
+    /// Returns the caller that waits for this reply.
     pub fn caller(&self) -> caller::Handle {
         match self {
             Self::Forward { caller, .. }
--- a/crates/exchange/src/server/admission.rs
+++ b/crates/exchange/src/server/admission.rs
@@ -1,12 +1,12 @@
-//! Check of a request before the dispatch thread hears of it.
+//! Checks of a request before it is sent to the dispatch thread.
 
 use super::{
     ResponseBody,
     context::Context,
-    job::Job,
+    handler::Handler,
     request::{
         self,
-        Outgoing, //
+        OutgoingRequest, //
     },
     response::problem,
     waiter::Waiter, //
@@ -36,19 +36,19 @@
     },
 };
 
-/// Time after which a caller may try again when the thread is full; a place is given back at each end of a request.
-const OVERLOAD_WAIT: Duration = Duration::from_secs(1);
+/// Time after which a caller may try again when the thread is full; each request that ends makes room for another.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves one request.
+/// Serves one request; while the thread drains, asks the caller to close its connection.
 pub(super) async fn serve(
     context: Rc<Context>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    // HTTP/2 has no such header; its connections are told to close by a frame of their own.
+    // HTTP/2 has no `Connection` header; its connections are closed with a GOAWAY frame.
     let closable = request.version() <= Version::HTTP_11;
     let mut response = admit(&context, request).await;
     if closable && context.draining.get() {
-        // The caller opens its next connection elsewhere, so none is closed under a request.
+        // The caller then connects to another entry, so no connection has to be closed while a request is sent on it.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -72,7 +72,8 @@
         context.record_refusal(&refusal);
         return problem(refusal.into());
     };
-    let outgoing = Outgoing::new(parts, body, keyed, &context.buffer, &context.limit).await;
+    let outgoing =
+        OutgoingRequest::new(parts, body, keyed, &context.buffer_usage, &context.limit).await;
     let outgoing = match outgoing {
         Ok(outgoing) => outgoing,
         Err(error) => return refuse_body(context, error, keyed),
@@ -90,37 +91,37 @@
     id: Id,
     waiter: Waiter,
     head: Head,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
 ) -> Response<ResponseBody> {
     let deadline = Instant::now() + head.deadline.since((context.clock)());
-    let once = !head.idempotent;
-    let job = Job::new(context.clone(), id, waiter, head, outgoing);
-    if !once {
-        return job.run().await;
+    let runs_once = !head.idempotent;
+    let handler = Handler::new(context.clone(), id, waiter, head, outgoing);
+    if !runs_once {
+        return handler.run().await;
     }
-    // A request that may run only once goes on when its caller has gone, so that a repeat finds its answer.
+    // A request that may run only once continues after its caller has disconnected, so that a repeat finds its answer.
     let (sender, receiver) = oneshot::channel();
-    tokio::task::spawn_local(async move { sender.send(job.run().await).ok() });
-    // The request goes on after its caller's deadline, so the answer can only be "unknown".
-    let late = Refusal::unknown(Reason::AttemptTimeout);
+    tokio::task::spawn_local(async move { sender.send(handler.run().await).ok() });
+    // The request continues after the deadline of its caller, so its outcome is unknown.
+    let timed_out = Refusal::unknown(Reason::AttemptTimeout);
     match timeout_at(deadline, receiver).await {
         Ok(Ok(response)) => response,
-        Ok(Err(_)) | Err(_) => problem(late.into()),
+        Ok(Err(_)) | Err(_) => problem(timed_out.into()),
     }
 }
 
 fn refuse_body(context: &Context, error: request::Error, keyed: bool) -> Response<ResponseBody> {
     let (refusal, status) = match error {
-        request::Error::Broken(_) => (refusal(Reason::Malformed, keyed), None),
+        request::Error::Incomplete(_) => (refusal(Reason::Malformed, keyed), None),
         request::Error::TooLarge(_) => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             (refusal(Reason::Malformed, keyed), Some(status))
         }
-        request::Error::Full => (overloaded(keyed), None),
+        request::Error::BufferFull => (overloaded(keyed), None),
     };
     context.record_refusal(&refusal);
     let mut response = problem(Problem::new(refusal, error.to_string()).with_status(status));
-    // What is left of the body is not read, so the connection can't carry another request.
+    // The rest of a body that is too large is not read, so the connection can't carry another request.
     if status.is_some() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -128,9 +129,9 @@
     response
 }
 
-/// Refuses a request before the owner of its key was asked.
+/// Returns the refusal of a request whose key owner has not been asked.
 ///
-/// An earlier attempt with the same key may have run, so only a request without a key certainly did not.
+/// An earlier attempt with the same key may have run, so only a request without a key is refused as "not run".
 pub(super) fn refusal(reason: Reason, keyed: bool) -> Refusal {
     match keyed {
         true => Refusal::unknown(reason),
@@ -138,7 +139,7 @@
     }
 }
 
-/// Refuses a request for which the thread has no room.
+/// Returns the refusal of a request for which the thread has no room.
 pub(super) fn overloaded(keyed: bool) -> Refusal {
-    refusal(Reason::Overloaded, keyed).with_retry_after(OVERLOAD_WAIT)
+    refusal(Reason::Overloaded, keyed).with_retry_after(OVERLOAD_RETRY_AFTER)
 }
--- a/crates/exchange/src/server/body.rs
+++ b/crates/exchange/src/server/body.rs
@@ -1,4 +1,4 @@
-//! Bodies in both directions.
+//! Body types of requests and responses.
 
 use super::{
     relay::Relay,
@@ -10,8 +10,8 @@
     Full, //
 };
 
-/// Body of a request to an upstream: held for a retry, or streamed from the caller.
+/// Body of a request to an upstream: held in memory for a retry, or streamed from the caller.
 pub type RequestBody = Either<Full<Bytes>, Upload>;
 
-/// Body of a response to a caller: whole, or streamed from the upstream.
+/// Body of a response to a caller: held in memory, or streamed from the upstream.
 pub type ResponseBody = Either<Full<Bytes>, Relay>;
--- a/crates/exchange/src/server/context.rs
+++ b/crates/exchange/src/server/context.rs
@@ -1,9 +1,9 @@
-//! What all requests of one exchange thread share.
+//! State that all requests of one exchange thread share.
 
 use super::{
     Limit,
     outbox::Outbox,
-    request::Buffer,
+    request::BufferUsage,
     waiter::Waiters, //
 };
 use crate::{
@@ -24,14 +24,14 @@
     rc::Rc, //
 };
 
-/// What all requests of one exchange thread share.
+/// State that all requests of one exchange thread share.
 #[derive(Debug)]
 pub(super) struct Context {
     pub(super) waiters: Waiters,
     pub(super) outbox: Outbox,
     pub(super) connections: Connections,
     pub(super) directory: RefCell<Rc<Directory>>,
-    pub(super) buffer: Buffer,
+    pub(super) buffer_usage: BufferUsage,
     pub(super) limit: Limit,
     pub(super) clock: fn() -> Time,
     pub(super) draining: Cell<bool>,
@@ -40,7 +40,7 @@
 }
 
 impl Context {
-    /// Records a request that never reached the dispatch thread.
+    /// Records the refusal of a request that the dispatch thread never received.
     pub(super) fn record_refusal(&self, refusal: &Refusal) {
         let event = Event::refused((self.clock)(), refusal);
         self.sink.borrow_mut().record(event);
--- a/crates/exchange/src/server/exchange.rs
+++ b/crates/exchange/src/server/exchange.rs
@@ -1,18 +1,18 @@
-//! One exchange thread and its graceful shutdown.
+//! Exchange thread and its graceful shutdown.
 
 use super::{
     Limit,
     context::Context,
+    inbox::{
+        Inbox,
+        InboxTask, //
+    },
     listener::{
         Phase,
         accept, //
     },
     outbox::Outbox,
-    pump::{
-        Inbox,
-        Pump, //
-    },
-    request::Buffer,
+    request::BufferUsage,
     waiter::Waiters, //
 };
 use crate::{
@@ -47,21 +47,21 @@
     sync::watch, //
 };
 
-/// Time between two looks at requests that have outlived the connections of their callers.
-const END_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which the shutdown checks for requests that have outlived the connections of their callers.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// From the control threads to an exchange thread.
+/// Message from a control thread to an exchange thread.
 #[derive(Clone, Debug)]
 pub enum Control {
-    /// A configuration is in force.
+    /// Use this configuration from now on.
     Configure(Arc<Snapshot>),
     /// Ask callers to open their next connection elsewhere; new connections are still served.
     Drain,
-    /// Stop accepting, finish what runs, then end.
+    /// Stop accepting connections, finish the requests that run, then end the thread.
     Close,
 }
 
-/// One exchange thread.
+/// State of an exchange thread.
 #[derive(Debug)]
 pub struct Exchange {
     listener: net::TcpListener,
@@ -69,7 +69,7 @@
     context: Context,
 }
 
-/// Ends of the rings that join an exchange thread to the other threads.
+/// Ends of the rings that connect an exchange thread to the other threads.
 #[derive(Debug)]
 pub struct Port {
     /// Replies of the dispatch thread.
@@ -87,7 +87,7 @@
 }
 
 impl Exchange {
-    /// Makes the state of the exchange thread with index `thread`.
+    /// Makes the state of the exchange thread with the index `thread`.
     ///
     /// `listener` must be non-blocking.
     pub fn new(
@@ -104,7 +104,7 @@
             sink: RefCell::new(port.sink),
             connections: Connections::new(),
             directory: RefCell::new(Rc::new(Directory::default())),
-            buffer: Buffer::default(),
+            buffer_usage: BufferUsage::default(),
             limit,
             clock,
             draining: Cell::new(false),
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Serves callers until [`Control::Close`] has come and every request has ended.
+    /// Serves callers until [`Control::Close`] is received and every request has ended.
     ///
-    /// Runs on a `LocalSet` of a current-thread runtime.
+    /// Must run in a `LocalSet` on a current-thread runtime.
     ///
     /// # Errors
     ///
@@ -132,21 +132,21 @@
         let listener = TcpListener::from_std(self.listener)?;
         let context = Rc::new(self.context);
         let (phase, phases) = watch::channel(Phase::Serving);
-        let pump = Pump {
+        let inbox_task = InboxTask {
             inbox: self.inbox,
             context: context.clone(),
             phase,
         };
-        let pump = tokio::task::spawn_local(pump.run());
+        let inbox_task = tokio::task::spawn_local(inbox_task.run());
         let connections = accept(listener, context.clone(), phases).await;
         // Every connection holds a permit until it has ended.
         let all = u32::try_from(context.limit.connections).unwrap_or(u32::MAX);
         connections.acquire_many(all).await.ok();
         // Requests that may run only once can outlive the connections of their callers.
         while context.waiters.len() > 0 {
-            tokio::time::sleep(END_PAUSE).await;
+            tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
-        pump.abort();
+        inbox_task.abort();
         Ok(())
     }
 }
--- a/crates/exchange/src/server/job.rs
+++ b/crates/exchange/src/server/handler.rs
@@ -1,13 +1,13 @@
-//! Life of one request on its exchange thread.
+//! Handling of one request, from its arrival at the dispatch thread to its answer.
 
 use super::{
     ResponseBody,
     admission::overloaded,
     context::Context,
-    relay::Ending,
+    relay::AttemptGuard,
     request::{
-        Outgoing,
-        remove_connection_headers, //
+        OutgoingRequest,
+        remove_hop_by_hop_headers, //
     },
     response::{
         Source,
@@ -66,25 +66,25 @@
     timeout_at, //
 };
 
-/// A request and the caller that waits for it.
-pub(super) struct Job {
+/// Handler of one request and of the caller that waits for it.
+pub(super) struct Handler {
     context: Rc<Context>,
     id: request::Id,
-    /// `None` once the relay of the answer has taken it over.
+    /// `None` once an [`AttemptGuard`] has taken it over.
     waiter: Option<Waiter>,
     head: Head,
-    outgoing: Outgoing,
-    /// Whether the dispatch thread still knows the request.
-    admitted: bool,
+    outgoing: OutgoingRequest,
+    /// Whether the dispatch thread has to be told when the handler is dropped, because it still tracks the request.
+    cancel_on_drop: bool,
 }
 
-impl Job {
+impl Handler {
     pub(super) fn new(
         context: Rc<Context>,
         id: request::Id,
         waiter: Waiter,
         head: Head,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
     ) -> Self {
         Self {
             context,
@@ -92,13 +92,13 @@
             waiter: Some(waiter),
             head,
             outgoing,
-            admitted: false,
+            cancel_on_drop: false,
         }
     }
 
-    /// Waits for the decisions on the request and carries them out until it has an answer or a refusal.
+    /// Carries out the decisions of the dispatch thread until there is an answer or a refusal.
     pub(super) async fn run(mut self) -> Response<ResponseBody> {
-        if !self.arrive() {
+        if !self.send_arrival() {
             let refusal = overloaded(self.head.key.is_some());
             self.context.record_refusal(&refusal);
             return problem(refusal.into());
@@ -110,16 +110,16 @@
             let reply = waiter.reply().await;
             match reply {
                 Reply::Refuse { refusal, .. } => {
-                    self.admitted = false;
+                    self.cancel_on_drop = false;
                     return problem(refusal.into());
                 }
                 Reply::Replay { answer, .. } => {
-                    self.admitted = false;
+                    self.cancel_on_drop = false;
                     return replay(&answer);
                 }
                 Reply::ForwardToOwner { address, .. } => {
-                    self.admitted = false;
-                    return self.redirect(address).await;
+                    self.cancel_on_drop = false;
+                    return self.forward_to_owner(address).await;
                 }
                 Reply::Forward { target, until, .. } => {
                     if let Some(response) = self.forward(target, until).await {
@@ -130,7 +130,8 @@
         }
     }
 
-    fn arrive(&mut self) -> bool {
+    /// Sends the request to the dispatch thread; returns whether the ring had room for it.
+    fn send_arrival(&mut self) -> bool {
         let Some(waiter) = &self.waiter else {
             return false;
         };
@@ -148,20 +149,20 @@
             deadline: head.deadline,
             idempotent: head.idempotent && self.outgoing.is_held(),
         };
-        self.admitted = self.context.outbox.send(Message::Arrive {
+        self.cancel_on_drop = self.context.outbox.send(Message::Arrive {
             id: self.id,
             arrival,
             idempotency,
         });
-        self.admitted
+        self.cancel_on_drop
     }
 
-    /// Makes one attempt; returns `None` if the dispatch thread has to decide what comes next.
+    /// Makes one attempt; returns `None` if the dispatch thread has to decide on the next step.
     async fn forward(&mut self, target: Target, until: Time) -> Option<Response<ResponseBody>> {
         let started = (self.context.clock)();
         let deadline = Instant::now() + until.since(started);
         let Some(request) = self.outgoing.request(Some(&self.head.account), deadline) else {
-            self.finish(AttemptResult::Lost, None);
+            self.send_finish(AttemptResult::Lost, None);
             return None;
         };
         let fresh = !self.head.idempotent;
@@ -170,11 +171,11 @@
             Ok(Ok(answer)) => answer,
             Ok(Err(Failure::Unsent(result, request))) => {
                 self.outgoing.restore(*request);
-                self.finish(result, None);
+                self.send_finish(result, None);
                 return None;
             }
-            Ok(Err(Failure::Sent)) => return self.fail(AttemptResult::Lost),
-            Err(_) => return self.fail(AttemptResult::TimedOut),
+            Ok(Err(Failure::Sent)) => return self.fail_attempt(AttemptResult::Lost),
+            Err(_) => return self.fail_attempt(AttemptResult::TimedOut),
         };
         if response.headers().contains_key(header::DRAINING) {
             let (upstream, source) = (target.upstream, DrainSource::Response);
@@ -183,54 +184,57 @@
                 .send(Message::Draining { upstream, source });
         }
         let latency = (self.context.clock)().since(started);
-        let ending = self.ending(connection, latency, response.status().is_server_error())?;
+        let guard = self.attempt_guard(connection, latency, response.status().is_server_error())?;
         if self.head.idempotent {
             Some(relay(
                 response,
                 VecDeque::new(),
                 deadline,
-                ending,
+                guard,
                 Source::Upstream,
             ))
         } else {
-            self.keep_answer(response, deadline, ending).await
+            self.buffer_answer(response, deadline, guard).await
         }
     }
 
-    /// Ends an attempt that may have run; the dispatch thread decides what comes next, unless the caller is to blame.
-    fn fail(&mut self, result: AttemptResult) -> Option<Response<ResponseBody>> {
-        if !self.outgoing.is_blamed(result) {
-            self.finish(result, None);
+    /// Ends an attempt that may have run.
+    ///
+    /// Returns a refusal if the caller did not send its body, and otherwise `None`: the dispatch thread decides on the next
+    /// step.
+    fn fail_attempt(&mut self, result: AttemptResult) -> Option<Response<ResponseBody>> {
+        if !self.outgoing.is_caller_fault(result) {
+            self.send_finish(result, None);
             return None;
         }
-        self.finish(AttemptResult::Cancelled, None);
-        self.admitted = false;
+        self.send_finish(AttemptResult::Cancelled, None);
+        self.cancel_on_drop = false;
         let refusal = Refusal::unknown(Reason::Malformed);
         let detail = "the body did not arrive before the attempt ended: send it faster".to_owned();
         Some(problem(Problem::new(refusal, detail)))
     }
 
-    /// Reads a small answer into memory, so that a repeat of the key gets it again.
-    async fn keep_answer(
+    /// Reads a small answer into memory, so that a repeat with the same key gets it again; streams a larger one.
+    async fn buffer_answer(
         &mut self,
         response: Response<Incoming>,
         deadline: Instant,
-        mut ending: Ending,
+        mut guard: AttemptGuard,
     ) -> Option<Response<ResponseBody>> {
         let (parts, mut body) = response.into_parts();
-        let mut head = VecDeque::new();
+        let mut prefix = VecDeque::new();
         let mut size = 0;
         let whole = loop {
             match timeout_at(deadline, body.frame()).await {
-                Err(_) => return self.answer_lost(ending, AttemptResult::TimedOut),
-                Ok(Some(Err(_))) => return self.answer_lost(ending, AttemptResult::Lost),
+                Err(_) => return self.recover_lost_answer(guard, AttemptResult::TimedOut),
+                Ok(Some(Err(_))) => return self.recover_lost_answer(guard, AttemptResult::Lost),
                 Ok(None) => break true,
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
                     size += data.len();
-                    head.push_back(data);
+                    prefix.push_back(data);
                     if size > self.context.limit.body_bytes {
                         break false;
                     }
@@ -240,38 +244,38 @@
         let mut answer = Answer {
             status: parts.status,
             headers: parts.headers.clone(),
-            body: whole.then(|| concatenate(&head, size)),
+            body: whole.then(|| concatenate(&prefix, size)),
         };
-        remove_connection_headers(&mut answer.headers);
-        // Trailer fields are not kept, so they are not announced either.
+        remove_hop_by_hop_headers(&mut answer.headers);
+        // Trailer fields are not stored, so the header that announces them is removed too.
         answer.headers.remove(TRAILER);
         if !whole {
             answer.headers.remove(CONTENT_LENGTH);
-            ending.keep(answer);
+            guard.store_answer(answer);
             let response = Response::from_parts(parts, body);
-            return Some(relay(response, head, deadline, ending, Source::Upstream));
+            return Some(relay(response, prefix, deadline, guard, Source::Upstream));
         }
         let response = replay(&answer);
-        ending.keep(answer);
-        ending.complete();
+        guard.store_answer(answer);
+        guard.complete();
         Some(response)
     }
 
-    /// Gives the waiter back and lets the dispatch thread decide after an answer broke off.
-    fn answer_lost(
+    /// Reports that an answer arrived only in part, and takes the waiter back for the decision of the dispatch thread.
+    fn recover_lost_answer(
         &mut self,
-        mut ending: Ending,
+        mut guard: AttemptGuard,
         result: AttemptResult,
     ) -> Option<Response<ResponseBody>> {
-        // The report needs the waiter, which names the caller.
-        ending.report(result);
-        self.waiter = ending.waiter.take();
-        self.admitted = true;
+        // The report names the caller by the waiter, so it comes before the waiter is taken.
+        guard.report(result);
+        self.waiter = guard.waiter.take();
+        self.cancel_on_drop = true;
         None
     }
 
-    /// Forwards the request to the entry that owns its key.
-    async fn redirect(&mut self, address: SocketAddr) -> Response<ResponseBody> {
+    /// Forwards the request to the entry that owns its key and relays the answer.
+    async fn forward_to_owner(&mut self, address: SocketAddr) -> Response<ResponseBody> {
         let unreachable = Refusal::unknown(Reason::OwnerUnreachable);
         let remaining = self.head.deadline.since((self.context.clock)());
         let deadline = Instant::now() + remaining;
@@ -285,24 +289,26 @@
         let Ok(Ok((response, connection))) = timeout_at(deadline, attempt).await else {
             return problem(unreachable.into());
         };
-        match self.ending(connection, Duration::ZERO, false) {
-            Some(mut ending) => {
-                ending.reported = true;
-                relay(response, VecDeque::new(), deadline, ending, Source::Owner)
+        match self.attempt_guard(connection, Duration::ZERO, false) {
+            Some(mut guard) => {
+                // The dispatch thread of this entry tracks no attempt for it, so there is no result to report.
+                guard.reported = true;
+                relay(response, VecDeque::new(), deadline, guard, Source::Owner)
             }
             None => problem(unreachable.into()),
         }
     }
 
-    fn ending(
+    /// Moves the waiter into a guard that reports the end of the attempt.
+    fn attempt_guard(
         &mut self,
         connection: Connection,
         latency: Duration,
         failed: bool,
-    ) -> Option<Ending> {
+    ) -> Option<AttemptGuard> {
         let waiter = self.waiter.take()?;
-        self.admitted = false;
-        Some(Ending {
+        self.cancel_on_drop = false;
+        Some(AttemptGuard {
             waiter: Some(waiter),
             outbox: self.context.outbox.clone(),
             connections: self.context.connections.clone(),
@@ -311,12 +317,13 @@
             failed,
             reported: false,
             expired: false,
-            starved: true,
+            awaiting_upstream: true,
             answer: None,
         })
     }
 
-    fn finish(&self, result: AttemptResult, answer: Option<Arc<Answer>>) {
+    /// Reports the result of an attempt to the dispatch thread.
+    fn send_finish(&self, result: AttemptResult, answer: Option<Arc<Answer>>) {
         if let Some(waiter) = &self.waiter {
             let caller = waiter.handle;
             self.context.outbox.send(Message::Finish {
@@ -328,10 +335,10 @@
     }
 }
 
-impl Drop for Job {
+impl Drop for Handler {
     fn drop(&mut self) {
         if let Some(waiter) = &self.waiter
-            && self.admitted
+            && self.cancel_on_drop
         {
             let caller = waiter.handle;
             self.context.outbox.send(Message::Cancel { caller });
--- a/crates/exchange/src/server/pump.rs
+++ b/crates/exchange/src/server/inbox.rs
@@ -1,4 +1,4 @@
-//! Replies and control messages on their way to those who wait for them.
+//! Task that receives replies and control messages on an exchange thread.
 
 use super::{
     Control,
@@ -19,7 +19,7 @@
 };
 use tokio::sync::watch;
 
-/// Receiving ends of the rings, as the pump uses them.
+/// Receiving ends of the rings of an exchange thread.
 #[derive(Debug)]
 pub(super) struct Inbox {
     pub(super) replies: Receiver<Reply>,
@@ -27,15 +27,15 @@
     pub(super) signal: Signal,
 }
 
-/// Hands replies and control messages to those who wait for them.
-pub(super) struct Pump {
+/// Delivers replies to waiting callers and applies control messages.
+pub(super) struct InboxTask {
     pub(super) inbox: Inbox,
     pub(super) context: Rc<Context>,
     pub(super) phase: watch::Sender<Phase>,
 }
 
-impl Pump {
-    /// Runs until the thread ends.
+impl InboxTask {
+    /// Runs until the task is aborted.
     pub(super) async fn run(mut self) {
         loop {
             while let Some(control) = self.next_control() {
--- a/crates/exchange/src/server/listener.rs
+++ b/crates/exchange/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Listener for callers, and the connections that it accepts.
+//! Listener for callers, and service of the connections that it accepts.
 
 use super::{
     admission::serve,
@@ -34,17 +34,19 @@
     time::timeout, //
 };
 
-/// Pause after an error of the listener, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next accept after an error of the listener, such as too many open files.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Phase of an exchange thread; only grows.
+/// Phase of an exchange thread; it never goes back.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Phase {
     Serving,
     Closing,
 }
 
-/// Accepts connections until the thread closes; returns the permits, one of which each connection holds.
+/// Accepts connections until the thread closes.
+///
+/// Returns the semaphore of which each open connection holds one permit.
 pub(super) async fn accept(
     listener: TcpListener,
     context: Rc<Context>,
@@ -55,11 +57,11 @@
         let accepted = tokio::select! {
             biased;
             accepted = next_connection(&listener, &permits) => accepted,
-            // Connections that the kernel has accepted already are served before the listener closes.
+            // Connections in the backlog of the kernel are accepted and served before the listener closes.
             _ = phases.wait_for(|phase| *phase == Phase::Closing) => return permits,
         };
         let Some((stream, permit)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let serving = serve_connection(stream, context.clone(), phases.clone());
@@ -70,16 +72,16 @@
     }
 }
 
-/// Serves a connection until its caller closes it, or until the thread closes and its last answer is sent.
+/// Serves a connection until its caller closes it, or until the thread is closing and the last answer was sent.
 async fn serve_connection(
     stream: TcpStream,
     context: Rc<Context>,
     mut phases: watch::Receiver<Phase>,
 ) {
     let limit = context.limit;
-    let (first, mut served) = watch::channel(false);
+    let (request_seen, mut requests) = watch::channel(false);
     let service = service_fn(move |request| {
-        first.send_replace(true);
+        request_seen.send_replace(true);
         let context = context.clone();
         async move { Ok::<_, Infallible>(serve(context, request).await) }
     });
@@ -89,39 +91,42 @@
         .timer(TokioTimer::new())
         .header_read_timeout(limit.head_timeout)
         .max_buf_size(limit.head_bytes);
-    let list = u32::try_from(limit.head_bytes).unwrap_or(u32::MAX);
-    builder.http2().max_header_list_size(list);
+    let max_header_list_bytes = u32::try_from(limit.head_bytes).unwrap_or(u32::MAX);
+    builder.http2().max_header_list_size(max_header_list_bytes);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let mut opened = served.clone();
-    // Until it knows the version of HTTP, the server of the connection has no time limit of its own.
-    let silent = async {
-        let first = opened.wait_for(|served| *served);
+    let mut first_request = requests.clone();
+    // `auto::Builder` applies the header timeout only once it has detected the HTTP version, so the wait for the first
+    // request needs a timeout of its own.
+    let first_request_timeout = async {
+        let first = first_request.wait_for(|seen| *seen);
         if timeout(limit.head_timeout, first).await.is_ok() {
             core::future::pending::<()>().await;
         }
     };
-    let closing = async {
+    let idle_close = async {
         phases.wait_for(|phase| *phase == Phase::Closing).await.ok();
-        // The caller of a new or idle connection has not been told to go elsewhere. Its next request is still served,
-        // with an answer that tells it; an idle connection that is closed at once cuts a request on its way.
-        served.mark_unchanged();
-        timeout(limit.idle_close_timeout, served.changed())
+        // A caller learns from the `Connection: close` of an answer that it must connect elsewhere. A new or idle
+        // connection is kept open for one more such answer, since closing it at once could cut off a request that is
+        // being sent.
+        requests.mark_unchanged();
+        timeout(limit.idle_close_timeout, requests.changed())
             .await
             .ok();
     };
-    // An error ends only this connection; its requests have been told to the dispatch thread.
+    // An error ends only this connection. Its requests send their end to the dispatch thread when they are dropped.
     tokio::select! {
         ended = connection.as_mut() => {
             ended.ok();
             return;
         }
-        () = silent => return,
-        () = closing => connection.as_mut().graceful_shutdown(),
+        () = first_request_timeout => return,
+        () = idle_close => connection.as_mut().graceful_shutdown(),
     }
     connection.await.ok();
 }
 
+/// Waits for a permit and accepts one connection; returns `None` on an error of the listener or socket.
 async fn next_connection(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
@@ -132,7 +137,7 @@
     Some((stream, permit))
 }
 
-/// Runs the streams of HTTP/2 connections on the thread of their connection.
+/// Executor that runs the streams of HTTP/2 connections on the current thread.
 #[derive(Clone, Copy, Debug)]
 struct LocalExecutor;
 
--- a/crates/exchange/src/server/mod.rs
+++ b/crates/exchange/src/server/mod.rs
@@ -1,14 +1,14 @@
-//! The exchange thread: listener, life of a request, shutdown.
+//! Exchange thread: listener, request handling and graceful shutdown.
 
 mod admission;
 mod body;
 mod context;
 mod exchange;
-mod job;
+mod handler;
+mod inbox;
 mod limit;
 mod listener;
 mod outbox;
-mod pump;
 mod relay;
 mod request;
 mod response;
@@ -16,8 +16,8 @@
 mod waiter;
 
 pub use body::{
-    RequestBody, //
-    ResponseBody,
+    RequestBody,
+    ResponseBody, //
 };
 pub use exchange::{
     Control,
--- a/crates/exchange/src/server/outbox.rs
+++ b/crates/exchange/src/server/outbox.rs
@@ -1,4 +1,4 @@
-//! Sending end of the ring to the dispatch thread.
+//! Sender of messages to the dispatch thread.
 
 use crate::Message;
 use sassafrascrank_ring::Sender;
@@ -7,7 +7,7 @@
     rc::Rc, //
 };
 
-/// Sends messages of all requests of this thread.
+/// Sender of messages to the dispatch thread, shared by all requests of this thread.
 #[derive(Clone, Debug)]
 pub(super) struct Outbox(Rc<RefCell<Sender<Message>>>);
 
@@ -16,9 +16,9 @@
         Self(Rc::new(RefCell::new(sender)))
     }
 
-    /// Sends a message; tells whether it fitted.
+    /// Sends a message; returns whether the ring had room for it.
     ///
-    /// The ring has room for every message of every waiting request, so only a dead dispatch thread makes this fail.
+    /// The ring has room for every message of every waiting request, so it is full only if the dispatch thread has died.
     pub(super) fn send(&self, message: Message) -> bool {
         self.0.borrow_mut().send(message).is_ok()
     }
--- a/crates/exchange/src/server/relay.rs
+++ b/crates/exchange/src/server/relay.rs
@@ -1,4 +1,4 @@
-//! Body of an answer on its way from the upstream to the caller.
+//! Streaming of an answer body from the upstream to the caller.
 
 use super::{
     outbox::Outbox,
@@ -44,52 +44,53 @@
     },
 };
 
-/// Passes the frames of an answer on and reports how the answer ended.
+/// Answer body that is streamed from the upstream; reports the result of the attempt at its end.
 ///
-/// The slot of the upstream is free only when the whole body has arrived. When the upstream breaks off or takes too
-/// long, the body ends with an error, so the caller never takes a part for the whole.
+/// The slot of the upstream is released only when the complete body has arrived. If the upstream disconnects or takes
+/// too long, the body ends with an error, so that the caller never mistakes a truncated answer for a complete one.
 pub struct Relay {
-    /// Frames that were read before the relay began.
-    head: VecDeque<Bytes>,
+    /// Data that was read before the relay began.
+    prefix: VecDeque<Bytes>,
     incoming: Incoming,
-    ending: Rc<RefCell<Ending>>,
-    /// Ends the attempt in time; `None` if the whole answer had arrived before.
-    watch: Option<AbortHandle>,
+    guard: Rc<RefCell<AttemptGuard>>,
+    /// Task that ends the attempt when it times out; `None` if the complete answer had arrived before.
+    timeout_task: Option<AbortHandle>,
 }
 
-/// What has to be done when an answer ends, on every path out of it.
-pub(super) struct Ending {
+/// Guard that reports the result of an attempt exactly once, at the latest when it is dropped.
+pub(super) struct AttemptGuard {
     pub(super) waiter: Option<Waiter>,
     pub(super) outbox: Outbox,
     pub(super) connections: Connections,
     pub(super) connection: Option<Connection>,
-    /// Time from sending the request to the head of the answer.
+    /// Time from the start of the attempt to the head of the answer.
     pub(super) latency: Duration,
     /// Whether the upstream answered with a server error.
     pub(super) failed: bool,
+    /// Whether the result has been reported.
     pub(super) reported: bool,
-    /// Whether the attempt's time was over before the whole answer had arrived.
+    /// Whether the attempt timed out before the complete answer had arrived.
     pub(super) expired: bool,
-    /// Whether the last thing that was waited for is the upstream, and not the caller.
-    pub(super) starved: bool,
-    /// Answer to keep for repeats of the same key.
+    /// Whether the relay waits for the upstream, and not for the caller to read.
+    pub(super) awaiting_upstream: bool,
+    /// Answer to store for repeats of the same key.
     pub(super) answer: Option<Arc<Answer>>,
 }
 
-/// The upstream broke off or was too slow.
+/// Reason why an answer is incomplete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The connection broke.
+    /// The connection to the upstream was lost.
     #[error("the upstream closed the connection in the middle of its answer")]
     Lost,
-    /// The attempt took too long.
+    /// The attempt timed out.
     #[error("the upstream did not finish its answer in time")]
     TimedOut,
 }
 
-impl Ending {
-    /// Reports the end of the attempt once; later calls do nothing.
+impl AttemptGuard {
+    /// Reports the result of the attempt to the dispatch thread; only the first call has an effect.
     pub(super) fn report(&mut self, result: AttemptResult) {
         if core::mem::replace(&mut self.reported, true) {
             return;
@@ -106,12 +107,12 @@
         });
     }
 
-    /// Sends `answer` along with the report.
-    pub(super) fn keep(&mut self, answer: Answer) {
+    /// Sets the answer that is sent along with the result.
+    pub(super) fn store_answer(&mut self, answer: Answer) {
         self.answer = Some(Arc::new(answer));
     }
 
-    /// Ends an attempt whose whole answer has arrived.
+    /// Ends an attempt whose complete answer has arrived; the connection can be reused.
     pub(super) fn complete(&mut self) {
         if let Some(connection) = self.connection.take() {
             self.connections.put_back(connection);
@@ -124,10 +125,10 @@
     }
 }
 
-impl Ending {
-    /// Ends an attempt whose answer the caller has got a part of, so that no other attempt can follow.
-    fn give_up(&mut self, result: AttemptResult) {
-        // Closes the connection, whatever is still on its way there.
+impl AttemptGuard {
+    /// Ends an attempt and cancels the request: the caller has received part of the answer, so no retry can follow.
+    fn abandon(&mut self, result: AttemptResult) {
+        // Dropping the connection closes it, with the rest of the answer unread.
         self.connection = None;
         if self.reported {
             return;
@@ -139,21 +140,21 @@
         }
     }
 
-    /// Ends an attempt whose time is over; only a wait for the upstream counts against the upstream.
+    /// Ends an attempt that has timed out; this counts as a failure of the upstream only if the relay waited for it.
     fn expire(&mut self) {
         if self.connection.is_none() {
-            // The whole answer has arrived and only waits for its caller.
+            // The complete answer has arrived; only the caller has not read it yet.
             return;
         }
         self.expired = true;
-        self.give_up(match self.starved {
+        self.abandon(match self.awaiting_upstream {
             true => AttemptResult::TimedOut,
             false => AttemptResult::Cancelled,
         });
     }
 }
 
-impl Drop for Ending {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         self.report(AttemptResult::Cancelled);
     }
@@ -161,78 +162,78 @@
 
 impl Relay {
     pub(super) fn new(
-        head: VecDeque<Bytes>,
+        prefix: VecDeque<Bytes>,
         incoming: Incoming,
         until: Instant,
-        ending: Ending,
+        guard: AttemptGuard,
     ) -> Self {
         let mut relay = Self {
-            head,
+            prefix,
             incoming,
-            ending: Rc::new(RefCell::new(ending)),
-            watch: None,
+            guard: Rc::new(RefCell::new(guard)),
+            timeout_task: None,
         };
-        relay.complete_at_end();
+        relay.complete_if_ended();
         if !relay.incoming.is_end_stream() {
-            relay.watch = Some(watch(&relay.ending, until));
+            relay.timeout_task = Some(spawn_timeout(&relay.guard, until));
         }
         relay
     }
 
-    /// Ends the attempt once the whole body has arrived.
+    /// Ends the attempt if the complete body has arrived.
     ///
-    /// A server that knows the length of a body does not ask for what follows its last frame.
-    fn complete_at_end(&mut self) {
+    /// When hyper knows the length of a body, it does not poll again after the last frame.
+    fn complete_if_ended(&mut self) {
         if self.incoming.is_end_stream() {
-            self.ending.borrow_mut().complete();
+            self.guard.borrow_mut().complete();
         }
     }
 
     fn poll_incoming(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        // The connection was closed here, and then the body ends like a whole one.
-        if self.ending.borrow().expired {
+        // `expire` has closed the connection, after which `incoming` would end like a complete body.
+        if self.guard.borrow().expired {
             return Poll::Ready(Some(Err(Error::TimedOut)));
         }
         let frame = Pin::new(&mut self.incoming).poll_frame(cx);
-        self.ending.borrow_mut().starved = frame.is_pending();
+        self.guard.borrow_mut().awaiting_upstream = frame.is_pending();
         Poll::Ready(match ready!(frame) {
-            // Nothing follows trailers, and a server does not ask for what comes after them.
+            // Trailers are the last frame, and hyper does not poll again after them.
             Some(Ok(frame)) if frame.is_trailers() => {
-                self.ending.borrow_mut().complete();
+                self.guard.borrow_mut().complete();
                 Some(Ok(frame))
             }
             Some(Ok(frame)) => {
-                self.complete_at_end();
+                self.complete_if_ended();
                 Some(Ok(frame))
             }
             Some(Err(_)) => {
-                self.ending.borrow_mut().give_up(AttemptResult::Lost);
+                self.guard.borrow_mut().abandon(AttemptResult::Lost);
                 Some(Err(Error::Lost))
             }
             None => {
-                self.ending.borrow_mut().complete();
+                self.guard.borrow_mut().complete();
                 None
             }
         })
     }
 }
 
-/// Ends the attempt in time even if the caller does not read, and so nobody asks for the rest of the answer.
-fn watch(ending: &Rc<RefCell<Ending>>, until: Instant) -> AbortHandle {
-    let ending = Rc::downgrade(ending);
-    let watch = tokio::task::spawn_local(async move {
+/// Spawns a task that ends the attempt at `until`, even if the caller does not read and so nothing polls the body.
+fn spawn_timeout(guard: &Rc<RefCell<AttemptGuard>>, until: Instant) -> AbortHandle {
+    let guard = Rc::downgrade(guard);
+    let timeout_task = tokio::task::spawn_local(async move {
         sleep_until(until).await;
-        if let Some(ending) = ending.upgrade() {
-            ending.borrow_mut().expire();
+        if let Some(guard) = guard.upgrade() {
+            guard.borrow_mut().expire();
         }
     });
-    watch.abort_handle()
+    timeout_task.abort_handle()
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if let Some(watch) = &self.watch {
-            watch.abort();
+        if let Some(timeout_task) = &self.timeout_task {
+            timeout_task.abort();
         }
     }
 }
@@ -246,18 +247,18 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let this = self.get_mut();
-        match this.head.pop_front() {
+        match this.prefix.pop_front() {
             Some(data) => Poll::Ready(Some(Ok(Frame::data(data)))),
             None => this.poll_incoming(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ending.borrow().reported && self.head.is_empty() && self.incoming.is_end_stream()
+        self.guard.borrow().reported && self.prefix.is_empty() && self.incoming.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held: usize = self.head.iter().map(Bytes::len).sum();
+        let held: usize = self.prefix.iter().map(Bytes::len).sum();
         let held = held as u64;
         let rest = self.incoming.size_hint();
         let mut hint = SizeHint::new();
--- a/crates/exchange/src/server/response.rs
+++ b/crates/exchange/src/server/response.rs
@@ -1,12 +1,12 @@
-//! Responses to callers.
+//! Construction of responses to callers.
 
 use super::{
     ResponseBody,
     relay::{
-        Ending,
+        AttemptGuard,
         Relay, //
     },
-    request::remove_connection_headers, //
+    request::remove_hop_by_hop_headers, //
 };
 use crate::{
     caller::{
@@ -29,36 +29,38 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Who answers.
+/// Server that sent an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Source {
     /// An upstream.
     Upstream,
-    /// The entry that owns the key; it has set the outcome.
+    /// The entry that owns the idempotency key; it has set the outcome header.
     Owner,
 }
 
-/// Passes the answer of an upstream, or of the entry that owns the key, on to the caller.
+/// Returns a response that streams the answer of an upstream, or of the entry that owns the key, to the caller.
+///
+/// `prefix` holds the frames of the body that were read already.
 pub(super) fn relay(
     response: Response<Incoming>,
-    head: VecDeque<Bytes>,
+    prefix: VecDeque<Bytes>,
     deadline: Instant,
-    ending: Ending,
+    guard: AttemptGuard,
     source: Source,
 ) -> Response<ResponseBody> {
     let (mut parts, incoming) = response.into_parts();
-    remove_connection_headers(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     let answered = HeaderValue::from_static(Outcome::Answered.as_str());
     match source {
-        // What the upstream says about itself is not the outcome.
+        // Only entries decide the outcome, so a header that an upstream sent is replaced.
         Source::Upstream => drop(parts.headers.insert(header::OUTCOME, answered)),
         Source::Owner => drop(parts.headers.entry(header::OUTCOME).or_insert(answered)),
     }
-    let relay = Relay::new(head, incoming, deadline, ending);
+    let relay = Relay::new(prefix, incoming, deadline, guard);
     Response::from_parts(parts, Either::Right(relay))
 }
 
-/// Gives an answer that is kept.
+/// Returns a response with a stored answer, or a refusal if its body was too large to store.
 pub(super) fn replay(answer: &Answer) -> Response<ResponseBody> {
     let Some(body) = &answer.body else {
         let dropped = Refusal {
@@ -75,14 +77,14 @@
     response
 }
 
-/// Refuses a request.
+/// Returns a response that refuses a request.
 pub(super) fn problem(problem: Problem) -> Response<ResponseBody> {
     problem
         .into_response()
         .map(|body| Either::Left(Full::new(body)))
 }
 
-/// Joins the parts of a body of `size` bytes.
+/// Joins the parts of a body that has `size` bytes in total.
 pub(super) fn concatenate(parts: &VecDeque<Bytes>, size: usize) -> Bytes {
     let mut whole = Vec::with_capacity(size);
     for part in parts {
--- a/crates/exchange/src/server/upload.rs
+++ b/crates/exchange/src/server/upload.rs
@@ -1,4 +1,4 @@
-//! Body of a request on its way from the caller to the upstream.
+//! Streaming of a request body from the caller to the upstream.
 
 use bytes::Bytes;
 use core::{
@@ -25,45 +25,49 @@
     sleep_until, //
 };
 
-/// Passes the frames of a request on until the attempt ends.
+/// Request body that is streamed from the caller, until the attempt times out.
 ///
-/// A caller that stops sending would otherwise keep the connection to the upstream for as long as it likes.
+/// Without the time limit, a caller that stops sending would occupy the connection to the upstream indefinitely.
 pub struct Upload {
     incoming: Incoming,
     until: Pin<Box<Sleep>>,
-    flow: Rc<Cell<Flow>>,
+    upload_state: Rc<Cell<UploadState>>,
 }
 
-/// Whether the caller's part of an attempt goes on.
+/// State of a streamed request body after its last poll; tells whether the caller caused the end of an attempt.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) enum Flow {
-    /// The caller is not waited for.
+pub(super) enum UploadState {
+    /// A frame or the end of the body was available, or the body has not been polled.
     #[default]
     Ready,
-    /// More of the body is waited for.
-    Starved,
-    /// The caller broke off.
+    /// The caller has not sent the next frame yet.
+    Waiting,
+    /// Reading from the caller failed.
     Broken,
 }
 
-/// The body did not arrive as a whole, so the upstream must not take it for one.
+/// Reason why a request body is incomplete; it makes hyper abort the request, so the upstream sees no complete body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The connection of the caller broke.
+    /// The connection of the caller was lost.
     #[error("the caller closed its connection in the middle of the body")]
     Lost,
-    /// The attempt took too long.
+    /// The attempt timed out.
     #[error("the caller did not send its body before the attempt ended")]
     TimedOut,
 }
 
 impl Upload {
-    pub(super) fn new(incoming: Incoming, until: Instant, flow: Rc<Cell<Flow>>) -> Self {
+    pub(super) fn new(
+        incoming: Incoming,
+        until: Instant,
+        upload_state: Rc<Cell<UploadState>>,
+    ) -> Self {
         Self {
             incoming,
             until: Box::pin(sleep_until(until)),
-            flow,
+            upload_state,
         }
     }
 
@@ -85,10 +89,10 @@
             return Poll::Ready(Some(Err(Error::TimedOut)));
         }
         let frame = Pin::new(&mut this.incoming).poll_frame(cx);
-        this.flow.set(match &frame {
-            Poll::Pending => Flow::Starved,
-            Poll::Ready(Some(Err(_))) => Flow::Broken,
-            Poll::Ready(_) => Flow::Ready,
+        this.upload_state.set(match &frame {
+            Poll::Pending => UploadState::Waiting,
+            Poll::Ready(Some(Err(_))) => UploadState::Broken,
+            Poll::Ready(_) => UploadState::Ready,
         });
         frame.map(|frame| frame.map(|frame| frame.map_err(|_| Error::Lost)))
     }
--- a/crates/exchange/src/server/waiter.rs
+++ b/crates/exchange/src/server/waiter.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for a decision.
+//! Callers that wait for a reply of the dispatch thread.
 
 use crate::Reply;
 use sassafrascrank_base::prelude::*;
@@ -14,19 +14,20 @@
 pub(super) struct Waiters {
     thread: u8,
     limit: usize,
-    arena: Rc<RefCell<SlotMap<caller::Key, Rc<Slot>>>>,
+    arena: Rc<RefCell<SlotMap<caller::Key, Rc<ReplySlot>>>>,
 }
 
-/// A waiting caller; leaves the arena when dropped.
+/// Waiting caller; dropping it removes it from the arena.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) handle: caller::Handle,
-    slot: Rc<Slot>,
+    slot: Rc<ReplySlot>,
     waiters: Waiters,
 }
 
+/// Latest reply for one caller.
 #[derive(Debug, Default)]
-struct Slot {
+struct ReplySlot {
     reply: RefCell<Option<Reply>>,
     notify: Notify,
 }
@@ -46,7 +47,7 @@
         if arena.len() >= self.limit {
             return None;
         }
-        let slot = Rc::new(Slot::default());
+        let slot = Rc::new(ReplySlot::default());
         let handle = caller::Handle {
             thread: self.thread,
             key: arena.insert(slot.clone()),
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Hands a reply to its caller; a caller that has gone is ignored.
+    /// Delivers a reply to its caller; a reply to a caller that no longer waits is discarded.
     pub(super) fn deliver(&self, reply: Reply) {
         let arena = self.arena.borrow();
         if let Some(slot) = arena.get(reply.caller().key) {
@@ -67,6 +68,7 @@
         }
     }
 
+    /// Returns the number of waiting callers.
     pub(super) fn len(&self) -> usize {
         self.arena.borrow().len()
     }
--- a/crates/exchange/src/upstream/attempt.rs
+++ b/crates/exchange/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to get an answer from an upstream.
+//! Single attempt to get an answer from an upstream.
 
 use super::{
     Connection,
@@ -13,10 +13,10 @@
 };
 use sassafrascrank_route::AttemptResult;
 
-/// An attempt that brought no answer.
+/// Failure of an attempt before the head of an answer arrived.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing was sent; the request is given back.
+    /// Nothing was sent; contains the result of the attempt and the request.
     Unsent(AttemptResult, Box<Request<RequestBody>>),
     /// The request may have reached the upstream.
     Sent,
@@ -24,12 +24,13 @@
 
 /// Sends a request and waits for the head of the answer.
 ///
-/// A request that may run only once goes out on a `fresh` connection: its peer may close an idle one at the moment
-/// at which the request is written, and then nobody knows whether it ran.
+/// A request that may run only once must use a `fresh` connection: the upstream may close an idle connection while the
+/// request is written to it, and then it is unknown whether the request ran.
 ///
 /// # Errors
 ///
-/// Tells for certain whether the request may have reached the upstream.
+/// Fails if no connection can be established, or if it breaks before the head of the answer. The error tells whether
+/// the request may have reached the upstream.
 pub async fn attempt(
     connections: &Connections,
     address: SocketAddr,
--- a/crates/exchange/src/upstream/connection.rs
+++ b/crates/exchange/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address.
+//! Connections to upstreams, and reuse of idle ones.
 
 use crate::server::RequestBody;
 use core::net::SocketAddr;
@@ -20,27 +20,29 @@
     time::timeout, //
 };
 
-/// Longest time to establish a connection within a deployment, where a round trip takes a few milliseconds.
+/// Longest time to establish a connection; within a deployment, a round trip takes a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections that are kept for one address; the 8 slots of a runner never need more.
-const IDLE_LIMIT: usize = 8;
-/// Addresses with idle connections; above this the idle connections of an address are closed at once.
+/// Most idle connections that are kept for one address. A runner has 8 slots, so no more are in use at once.
+const IDLE_LIMIT_PER_ADDRESS: usize = 8;
+/// Most addresses with idle connections; a connection to a further address is closed after its answer.
 const ADDRESS_LIMIT: usize = 4_096;
 
-/// Idle connections of one exchange thread.
+/// Idle connections of one exchange thread, by address.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>,
 }
 
-/// A connection that is ready for a request; dropping it closes it at once, also in the middle of an answer.
+/// HTTP/1.1 connection that is ready for a request.
+///
+/// Dropping it closes the connection at once, even in the middle of an answer.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends requests on the connection.
+    /// Sender for requests on the connection.
     pub sender: SendRequest<RequestBody>,
     /// Whether the connection has carried a request before; its peer may have closed it since.
     pub reused: bool,
-    /// Other end of the connection.
+    /// Address of the upstream.
     pub address: SocketAddr,
     /// Task that drives the connection.
     task: AbortHandle,
@@ -48,18 +50,18 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Otherwise the task would go on until somebody has read the rest of the answer.
+        // Without this, the task would keep the connection open until the rest of the answer has been read.
         self.task.abort();
     }
 }
 
 impl Connections {
-    /// Makes an empty set.
+    /// Makes a set without idle connections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes an idle connection to `address` if there is one.
+    /// Removes and returns an open idle connection to `address` if there is one.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
@@ -75,14 +77,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address refuses the connection or does not accept it in time.
+    /// Fails if the upstream refuses the connection or does not accept it in time.
     pub async fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
-        // Errors of the connection reach the request that runs on it.
+        // An error of the connection is also returned to the request that uses it.
         let task = tokio::task::spawn_local(async move { connection.await.ok() });
         let task = task.abort_handle();
         sender.ready().await.map_err(io::Error::other)?;
@@ -94,12 +96,12 @@
         })
     }
 
-    /// Keeps a connection whose answer has been read to its end, as soon as it is ready again.
+    /// Returns a connection whose answer was read completely to the idle connections, once it is ready again.
     pub fn put_back(&self, mut connection: Connection) {
         let connections = self.clone();
         tokio::task::spawn_local(async move {
             if connection.sender.ready().await.is_ok() {
-                connections.keep(connection);
+                connections.keep_idle(connection);
             }
         });
     }
@@ -109,13 +111,14 @@
         self.idle.borrow_mut().retain(|address, _| keep(address));
     }
 
-    fn keep(&self, mut connection: Connection) {
+    /// Adds an idle connection, or closes it if a limit is reached.
+    fn keep_idle(&self, mut connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() >= ADDRESS_LIMIT && !idle.contains_key(&connection.address) {
             return;
         }
         let connections = idle.entry(connection.address).or_default();
-        if connections.len() < IDLE_LIMIT {
+        if connections.len() < IDLE_LIMIT_PER_ADDRESS {
             connection.reused = true;
             connections.push(connection);
         }
