--- a/crates/exchange/benches/authenticate.rs
+++ b/crates/exchange/benches/authenticate.rs
@@ -1,4 +1,4 @@
-//! Time to find the customer of a credential, beside a comparison with every contract.
+//! Time to find the customer of a credential, by index and by comparison with every contract.
 
 use divan::{
     Bencher,
@@ -18,13 +18,14 @@
 use std::sync::Arc;
 use subtle::ConstantTimeEq;
 
+/// Numbers of customers in the directory.
 const CUSTOMERS: [usize; 3] = [10, 100, 1_000];
 
 fn main() {
     divan::main();
 }
 
-/// Looks the credential of the last customer up by the keyed hash of its digest.
+/// Looks up the credential of the last customer by the keyed hash of its digest.
 #[divan::bench(args = CUSTOMERS)]
 fn index(bencher: Bencher<'_, '_>, customers: usize) {
     let directory = Directory::from(&snapshot(customers));
@@ -32,14 +33,14 @@
     bencher.bench_local(|| directory.authenticate(black_box(&credential)).is_some());
 }
 
-/// Refuses a credential that nobody has.
+/// Looks up a credential that no customer has.
 #[divan::bench(args = CUSTOMERS)]
 fn index_unknown(bencher: Bencher<'_, '_>, customers: usize) {
     let directory = Directory::from(&snapshot(customers));
     bencher.bench_local(|| directory.authenticate(black_box(b"guess")).is_some());
 }
 
-/// Compares the digest with that of every contract, as before the index.
+/// Compares the digest with that of every contract, as a baseline without an index.
 #[divan::bench(args = CUSTOMERS)]
 fn scan(bencher: Bencher<'_, '_>, customers: usize) {
     let snapshot = snapshot(customers);
--- a/crates/exchange/src/server/listener.rs
+++ b/crates/exchange/src/server/listener.rs
@@ -114,7 +114,7 @@
             .await
             .ok();
     };
-    // An error ends only this connection. Its requests send their end to the dispatch thread when they are dropped.
+    // An error ends only this connection; each of its requests notifies the dispatch thread when it is dropped.
     tokio::select! {
         ended = connection.as_mut() => {
             ended.ok();
--- a/crates/exchange/tests/answers.rs
+++ b/crates/exchange/tests/answers.rs
@@ -1,13 +1,13 @@
-//! Answers and failures of upstreams on their way to the caller.
+//! Forwarding of answers and failures of upstreams to callers.
 
 mod common;
 
 use bytes::Bytes;
 use common::{
+    Fixture,
     HEADERS,
     KEY,
     Peer,
-    World,
     get,
     upstream, //
 };
@@ -37,10 +37,10 @@
     net::TcpStream, //
 };
 
-const LONG: Duration = Duration::from_secs(60);
-const SHORT: Duration = Duration::from_millis(50);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Sends a request by HTTP/1.1 or HTTP/2 and tells what its caller takes the answer for.
+/// Sends a request over HTTP/1.1 or HTTP/2 and describes the answer as its caller sees it.
 async fn fetch(address: core::net::SocketAddr, version: u8, method: &str) -> String {
     let key = KEY.trim_end().split_once(": ").unwrap().1;
     let request = Request::builder()
@@ -73,12 +73,12 @@
     }
 }
 
-/// Guards against a part of an answer that its caller takes for the whole, and against a slot that the engine grants
-/// for a retry of it and nobody ends: each broken answer must be followed by a cancellation.
+/// Guards against a truncated answer that its caller mistakes for a complete one, and against a slot that is granted for
+/// a retry and never released: a truncated answer that the caller has seen in part must be followed by a cancellation.
 #[tokio::test]
-async fn a_part_of_an_answer_is_never_whole() {
+async fn truncated_answers_are_never_passed_on_as_complete() {
     let mut report = String::new();
-    let mut world = World::start(Limit::default(), &[]);
+    let mut fixture = Fixture::start(Limit::default(), &[]);
     let (listener, address) = upstream().await;
     for (framing, body) in [
         (
@@ -90,34 +90,38 @@
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\n01234\r\n",
         ),
     ] {
-        for (version, method, patience) in [
-            (1, "GET", LONG),
-            (2, "GET", LONG),
-            (1, "GET", SHORT),
-            (2, "GET", SHORT),
-            (1, "POST", LONG),
-            (1, "POST", SHORT),
+        for (version, method, attempt_timeout) in [
+            (1, "GET", LONG_TIMEOUT),
+            (2, "GET", LONG_TIMEOUT),
+            (1, "GET", SHORT_TIMEOUT),
+            (2, "GET", SHORT_TIMEOUT),
+            (1, "POST", LONG_TIMEOUT),
+            (1, "POST", SHORT_TIMEOUT),
         ] {
-            let caller = tokio::spawn(fetch(world.callers, version, method));
-            let handle = world.dispatch.arrival().await;
-            world.dispatch.forward(handle, address, patience);
+            let caller = tokio::spawn(fetch(fixture.callers, version, method));
+            let handle = fixture.dispatch.arrival().await;
+            fixture.dispatch.forward(handle, address, attempt_timeout);
             let mut upstream = Peer::accept(&listener).await;
             upstream.head().await;
             upstream.write(body).await;
-            if patience == LONG {
+            if attempt_timeout == LONG_TIMEOUT {
                 drop(upstream);
             } else {
-                // The time of the attempt ends while the rest is awaited.
+                // The attempt times out while the exchange thread waits for the rest.
                 upstream.rest().await;
             }
-            let mut events = world.dispatch.event().await;
+            let mut events = fixture.dispatch.event().await;
             if method == "POST" {
-                world.dispatch.refuse(handle);
+                fixture.dispatch.refuse(handle);
             } else {
-                write!(events, ", {}", world.dispatch.event().await).unwrap();
+                write!(events, ", {}", fixture.dispatch.event().await).unwrap();
             }
             let seen = caller.await.unwrap();
-            let end = if patience == LONG { "closed" } else { "late" };
+            let end = if attempt_timeout == LONG_TIMEOUT {
+                "closed"
+            } else {
+                "late"
+            };
             writeln!(
                 report,
                 "{framing}, {end}, HTTP/{version} {method}: {events}; {seen}"
@@ -125,37 +129,37 @@
             .unwrap();
         }
     }
-    world.close().await;
+    fixture.close().await;
     insta::assert_snapshot!(report);
 }
 
-/// Guards against a request that is lost or run twice when its upstream refuses the connection, has closed the idle
-/// one, or answers too late, and against a late answer that reaches the next caller.
+/// Guards against a request that is lost or run twice when its upstream refuses the connection, has closed an idle
+/// connection, or answers too late, and against a late answer that is sent to the next request.
 #[tokio::test]
-async fn failed_attempts_are_reported_and_late_answers_reach_nobody() {
+async fn failed_attempts_are_reported_and_late_answers_are_discarded() {
     let mut report = String::new();
-    let mut world = World::start(
+    let mut fixture = Fixture::start(
         Limit {
             body_bytes: 4,
             ..Limit::default()
         },
         &[],
     );
-    let mut caller = world.caller().await;
+    let mut caller = fixture.caller().await;
     let (closed, refusing) = upstream().await;
     drop(closed);
     let (listener, address) = upstream().await;
 
-    // The streamed body must still be whole at the second upstream.
+    // The streamed body must arrive complete at the second upstream.
     caller
         .write(&format!(
             "PUT /first HTTP/1.1\r\n{HEADERS}content-length: 10\r\n\r\n0123456789"
         ))
         .await;
-    let handle = world.dispatch.arrival().await;
-    world.dispatch.forward(handle, refusing, LONG);
-    writeln!(report, "refused: {}", world.dispatch.event().await).unwrap();
-    world.dispatch.forward(handle, address, LONG);
+    let handle = fixture.dispatch.arrival().await;
+    fixture.dispatch.forward(handle, refusing, LONG_TIMEOUT);
+    writeln!(report, "refused: {}", fixture.dispatch.event().await).unwrap();
+    fixture.dispatch.forward(handle, address, LONG_TIMEOUT);
     let mut first = Peer::accept(&listener).await;
     writeln!(report, "second upstream: {}", first.answer().await).unwrap();
     first
@@ -164,27 +168,27 @@
     writeln!(
         report,
         "{}\n{}",
-        world.dispatch.event().await,
+        fixture.dispatch.event().await,
         caller.answer().await
     )
     .unwrap();
 
-    // Its upstream closes the idle connection; once the entry has seen that, requests go out on another one.
+    // The upstream closes the idle connection; once the entry has seen that, it sends requests on a new one.
     first.stream.shutdown().await.unwrap();
     assert_eq!(first.rest().await, "");
     caller.write(&get("/idle")).await;
-    let handle = world.dispatch.arrival().await;
-    world.dispatch.forward(handle, address, SHORT);
+    let handle = fixture.dispatch.arrival().await;
+    fixture.dispatch.forward(handle, address, SHORT_TIMEOUT);
     let mut late = Peer::accept(&listener).await;
     late.head().await;
-    writeln!(report, "late: {}", world.dispatch.event().await).unwrap();
-    world.dispatch.refuse(handle);
+    writeln!(report, "late: {}", fixture.dispatch.event().await).unwrap();
+    fixture.dispatch.refuse(handle);
     writeln!(report, "{}", caller.answer().await).unwrap();
 
-    // The late answer must not reach this request of the same caller to the same upstream.
+    // The late answer must not be taken for the answer to this request of the same caller to the same upstream.
     caller.write(&get("/next")).await;
-    let handle = world.dispatch.arrival().await;
-    world.dispatch.forward(handle, address, LONG);
+    let handle = fixture.dispatch.arrival().await;
+    fixture.dispatch.forward(handle, address, LONG_TIMEOUT);
     let mut next = Peer::accept(&listener).await;
     late.stream
         .try_write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate")
@@ -201,31 +205,31 @@
     writeln!(
         report,
         "{}\n{}",
-        world.dispatch.event().await,
+        fixture.dispatch.event().await,
         caller.answer().await
     )
     .unwrap();
     drop(caller);
-    world.close().await;
+    fixture.close().await;
     insta::assert_snapshot!(report);
 }
 
-/// Guards against headers of one connection that pass to the other, a credential that reaches an upstream, a length
-/// that contradicts the body, an upstream that sets the outcome, and lost trailers.
+/// Guards against forwarded hop-by-hop headers, a credential that reaches an upstream, a length that contradicts the
+/// body, an outcome that an upstream sets, and lost trailers.
 #[tokio::test]
-async fn headers_of_a_connection_and_credentials_stop_at_the_entry() {
+async fn hop_by_hop_headers_and_credentials_are_not_forwarded() {
     let mut report = String::new();
-    let mut world = World::start(Limit::default(), &[Control::Drain]);
+    let mut fixture = Fixture::start(Limit::default(), &[Control::Drain]);
     let (listener, address) = upstream().await;
     for method in ["PUT", "POST"] {
-        let mut caller = world.caller().await;
+        let mut caller = fixture.caller().await;
         caller.write(&format!(
             "{method} /a?b HTTP/1.1\r\n{HEADERS}{KEY}connection: keep-alive, x-hop\r\nx-hop: 1\r\nkeep-alive: 5\r\n\
              proxy-connection: x\r\nte: trailers\r\nupgrade: x\r\nsassafrascrank-customer: other\r\n\
              transfer-encoding: chunked\r\ncontent-length: 4\r\nx-end: kept\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
         )).await;
-        let handle = world.dispatch.arrival().await;
-        world.dispatch.forward(handle, address, LONG);
+        let handle = fixture.dispatch.arrival().await;
+        fixture.dispatch.forward(handle, address, LONG_TIMEOUT);
         let mut upstream = Peer::accept(&listener).await;
         let head = upstream.head().await;
         writeln!(report, "request of {method}:\n{head}").unwrap();
@@ -241,7 +245,7 @@
              transfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nx-sum: 9\r\n\r\n",
         ).await;
         for _ in 0..2 {
-            writeln!(report, "{}", world.dispatch.event().await).unwrap();
+            writeln!(report, "{}", fixture.dispatch.event().await).unwrap();
         }
         writeln!(
             report,
@@ -256,18 +260,18 @@
         )
         .unwrap();
     }
-    world.close().await;
+    fixture.close().await;
     insta::assert_snapshot!(report);
 }
 
-/// Guards against answers without a body that get one, or that leave their slot or their connection in use; and
-/// against a caller that waits in vain for permission to send its body.
+/// Guards against answers without a body that are sent with one, or that never release their slot or connection, and
+/// against a caller that never gets the `100 Continue` for which it waits.
 #[tokio::test]
-async fn answers_without_a_body_and_expected_bodies_end_the_attempt() {
+async fn answers_without_body_and_expect_continue_end_the_attempt() {
     let mut report = String::new();
-    let mut world = World::start(Limit::default(), &[]);
+    let mut fixture = Fixture::start(Limit::default(), &[]);
     let (listener, address) = upstream().await;
-    let mut caller = world.caller().await;
+    let mut caller = fixture.caller().await;
     let mut upstream: Option<Peer> = None;
     for (method, extra, answer) in [
         ("HEAD", "", "200 OK\r\ncontent-length: 12"),
@@ -292,8 +296,8 @@
             writeln!(report, "{}", caller.head().await).unwrap();
             caller.write("hi").await;
         }
-        let handle = world.dispatch.arrival().await;
-        world.dispatch.forward(handle, address, LONG);
+        let handle = fixture.dispatch.arrival().await;
+        fixture.dispatch.forward(handle, address, LONG_TIMEOUT);
         if upstream.is_none() || method == "POST" {
             upstream = Some(Peer::accept(&listener).await);
         }
@@ -301,7 +305,7 @@
         let head = upstream.answer().await;
         assert!(!head.contains("expect"), "{head}");
         upstream.write(&format!("HTTP/1.1 {answer}\r\n\r\n")).await;
-        let event = world.dispatch.event().await;
+        let event = fixture.dispatch.event().await;
         writeln!(
             report,
             "{method} {extra:?}: {event}\n{}",
@@ -310,6 +314,6 @@
         .unwrap();
     }
     assert_eq!(caller.rest().await, "");
-    world.close().await;
+    fixture.close().await;
     insta::assert_snapshot!(report);
 }
--- a/crates/exchange/tests/attempt.rs
+++ b/crates/exchange/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts on connections that were idle.
+//! Attempts on idle connections.
 
 mod common;
 
@@ -34,10 +34,10 @@
         .unwrap()
 }
 
-/// Guards against a request that counts as sent although the idle connection that it was given to was closed already:
-/// it must be given back as `Stale`, and be whole on the next connection.
+/// Guards against a request that counts as sent although its idle connection was closed already: it must be returned as
+/// `Stale`, and arrive complete on the next connection.
 #[tokio::test]
-async fn a_request_for_a_closed_idle_connection_is_given_back() {
+async fn request_on_a_closed_idle_connection_is_returned_unsent() {
     let (listener, address) = upstream().await;
     let local = LocalSet::new();
     let scenario = local.run_until(async {
@@ -54,21 +54,21 @@
         let (response, connection) = answer.unwrap();
         response.into_body().collect().await.unwrap();
         connections.put_back(connection);
-        // The tasks of this thread take turns, so the connection is idle after some of them.
+        // `put_back` runs in a task of this thread, so the connection is idle after a few yields.
         for _ in 0..16 {
             yield_now().await;
         }
         drop(peer);
-        // The runtime sees the end of the connection, but its task has not run yet.
+        // The runtime sees the end of the connection, but the connection's task has not run yet.
         yield_now().await;
         let failure = attempt(&connections, address, request("/2"), false)
             .await
             .unwrap_err();
-        let Failure::Unsent(result, given_back) = failure else {
+        let Failure::Unsent(result, returned) = failure else {
             panic!("the request counts as sent");
         };
         assert_eq!(format!("{result:?}"), "Stale");
-        let second = attempt(&connections, address, *given_back, false);
+        let second = attempt(&connections, address, *returned, false);
         let serve = async {
             let mut peer = Peer::accept(&listener).await;
             let request = peer.answer().await;
--- a/crates/exchange/tests/bodies.rs
+++ b/crates/exchange/tests/bodies.rs
@@ -1,11 +1,11 @@
-//! Large bodies in both directions.
+//! Streaming of large bodies in both directions.
 
 mod common;
 
 use common::{
+    Fixture,
     HEADERS,
     Peer,
-    World,
     forwarded,
     get,
     upstream,
@@ -18,25 +18,25 @@
 use sassafrascrank_exchange::Limit;
 use tokio::io::AsyncWriteExt;
 
-const LONG: Duration = Duration::from_secs(60);
-/// Body larger than what the buffers of the kernel hold.
-const LARGE: usize = 64 * 1_024 * 1_024;
-/// Most of it that the connections on both sides may take while nobody reads.
-const BUFFERED: usize = 48 * 1_024 * 1_024;
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Size of a body that does not fit into the socket buffers of the kernel.
+const LARGE_BODY_BYTES: usize = 64 * 1_024 * 1_024;
+/// Most bytes of a body that the connections on both sides may buffer while the receiver does not read.
+const MAX_BUFFERED_BYTES: usize = 48 * 1_024 * 1_024;
 
-/// Gives the thread many turns, each of which would let it read on.
-async fn turns(world: &mut World) {
-    let mut other = world.caller().await;
+/// Sends other requests, so that the exchange thread runs often enough to read more of a body if it wants to.
+async fn serve_other_requests(fixture: &mut Fixture) {
+    let mut other = fixture.caller().await;
     for _ in 0..64 {
         other.write(&get("/turn")).await;
-        let handle = world.dispatch.arrival().await;
-        world.dispatch.refuse(handle);
+        let handle = fixture.dispatch.arrival().await;
+        fixture.dispatch.refuse(handle);
         other.answer().await;
     }
 }
 
-/// Writes a large body, chunked or not; returns how much of it the other end has taken so far.
-fn pour(
+/// Spawns a task that writes a large body, chunked or not; returns the task and the number of bytes written so far.
+fn spawn_writer(
     mut peer: Peer,
     chunked: bool,
 ) -> (
@@ -47,7 +47,7 @@
     let count = taken.clone();
     let block = vec![b'x'; 64 * 1_024];
     let task = tokio::spawn(async move {
-        for _ in 0..LARGE / block.len() {
+        for _ in 0..LARGE_BODY_BYTES / block.len() {
             if chunked {
                 peer.write("10000\r\n").await;
             }
@@ -65,10 +65,10 @@
     (task, taken)
 }
 
-/// Reads a large body to its end.
-async fn drink(peer: &mut Peer, chunked: bool) {
+/// Reads a large body to its end and checks its bytes.
+async fn read_large_body(peer: &mut Peer, chunked: bool) {
     let expected = "x".repeat(1 << 20);
-    let mut left = LARGE;
+    let mut left = LARGE_BODY_BYTES;
     while left > 0 {
         let size = match chunked {
             true => loop {
@@ -97,27 +97,28 @@
     usize::from_str_radix(&digits, 16).unwrap()
 }
 
-/// Guards against a thread that collects a streamed body in its memory while the other side does not read, and
-/// against bytes that get lost on the way.
+/// Guards against an exchange thread that buffers a streamed body in memory while the receiver does not read, and
+/// against lost or changed bytes.
 #[tokio::test]
-async fn large_bodies_are_streamed_at_the_pace_of_their_reader() {
-    let mut world = World::start(Limit::default(), &[]);
+async fn large_bodies_are_streamed_with_backpressure() {
+    let mut fixture = Fixture::start(Limit::default(), &[]);
     let (listener, _) = upstream().await;
     for chunked in [false, true] {
         let length = match chunked {
             true => "transfer-encoding: chunked".to_owned(),
-            false => format!("content-length: {LARGE}"),
+            false => format!("content-length: {LARGE_BODY_BYTES}"),
         };
         let text = format!("PUT / HTTP/1.1\r\n{HEADERS}{length}\r\n\r\n");
-        let (caller, mut upstream, _) = forwarded(&mut world, &listener, &text, LONG).await;
-        let (caller, taken) = pour(caller, chunked);
-        turns(&mut world).await;
+        let (caller, mut upstream, _) =
+            forwarded(&mut fixture, &listener, &text, LONG_TIMEOUT).await;
+        let (caller, taken) = spawn_writer(caller, chunked);
+        serve_other_requests(&mut fixture).await;
         let buffered = taken.load(Ordering::Relaxed);
         assert!(
-            buffered < BUFFERED,
+            buffered < MAX_BUFFERED_BYTES,
             "{buffered} bytes of a request taken, chunked={chunked}"
         );
-        drink(&mut upstream, chunked).await;
+        read_large_body(&mut upstream, chunked).await;
         let mut caller = within("the caller", caller).await.unwrap();
         if chunked {
             upstream.take("\r\n0\r\n\r\n".len()).await;
@@ -125,17 +126,17 @@
         upstream
             .write(&format!("HTTP/1.1 200 OK\r\n{length}\r\n\r\n"))
             .await;
-        let (upstream, taken) = pour(upstream, chunked);
+        let (upstream, taken) = spawn_writer(upstream, chunked);
         caller.head().await;
-        turns(&mut world).await;
+        serve_other_requests(&mut fixture).await;
         let buffered = taken.load(Ordering::Relaxed);
         assert!(
-            buffered < BUFFERED,
+            buffered < MAX_BUFFERED_BYTES,
             "{buffered} bytes of an answer taken, chunked={chunked}"
         );
-        drink(&mut caller, chunked).await;
+        read_large_body(&mut caller, chunked).await;
         within("the upstream", upstream).await.unwrap();
-        assert_eq!(world.dispatch.event().await, "finish Answered(0ns)");
+        assert_eq!(fixture.dispatch.event().await, "finish Answered(0ns)");
     }
-    world.close().await;
+    fixture.close().await;
 }
--- a/crates/exchange/tests/common/dispatch.rs
+++ b/crates/exchange/tests/common/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatch thread, played by the test.
+//! Stub of the dispatch thread, which the test controls.
 
 use super::within;
 use core::net::SocketAddr;
@@ -14,14 +14,14 @@
     Signal, //
 };
 
-/// Ends of the rings to and from the exchange thread.
-pub struct Dispatch {
+/// Stub of the dispatch thread with its ends of the rings to and from the exchange thread.
+pub struct DispatchStub {
     messages: Receiver<Message>,
     replies: Sender<Reply>,
     signal: Signal,
 }
 
-impl Dispatch {
+impl DispatchStub {
     pub fn new(messages: Receiver<Message>, replies: Sender<Reply>, signal: Signal) -> Self {
         Self {
             messages,
@@ -47,7 +47,7 @@
         describe(&self.next().await)
     }
 
-    /// Waits for an arrival; returns who waits for its decision.
+    /// Waits for an arrival; returns the caller that waits for the decision.
     pub async fn arrival(&mut self) -> caller::Handle {
         match self.next().await {
             Message::Arrive { arrival, .. } => arrival.caller,
@@ -55,11 +55,16 @@
         }
     }
 
-    /// Sends a request to an upstream, to be given up after `patience`.
-    pub fn forward(&mut self, caller: caller::Handle, address: SocketAddr, patience: Duration) {
+    /// Has the request forwarded to an upstream, with a time limit for the attempt.
+    pub fn forward(
+        &mut self,
+        caller: caller::Handle,
+        address: SocketAddr,
+        attempt_timeout: Duration,
+    ) {
         let upstream = upstream::Key::default();
         let target = Target { upstream, address };
-        let until = super::clock() + patience;
+        let until = super::clock() + attempt_timeout;
         self.reply(Reply::Forward {
             caller,
             target,
@@ -78,7 +83,7 @@
     }
 }
 
-/// Describes a message by what matters for the dispatch thread.
+/// Describes the kind of a message and the fields that the tests compare.
 pub fn describe(message: &Message) -> String {
     match message {
         Message::Arrive {
--- a/crates/exchange/tests/common/mod.rs
+++ b/crates/exchange/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! An exchange thread over loopback sockets; the test plays the dispatch thread, the callers and the upstreams.
+//! Fixture with a real exchange thread on loopback sockets; the test takes the part of the dispatch thread, the callers
+//! and the upstreams.
 
 #![allow(
     dead_code,
@@ -9,7 +10,7 @@
 mod dispatch;
 mod peer;
 
-pub use dispatch::Dispatch;
+pub use dispatch::DispatchStub;
 pub use peer::Peer;
 
 use core::net::SocketAddr;
@@ -52,31 +53,31 @@
     time::timeout, //
 };
 
-/// Longest wait for an event that must come; only a fault reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an expected event; only a failing test reaches it.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Header lines of an ordinary request.
 pub const HEADERS: &str =
     "host: entry\r\nauthorization: Bearer secret\r\nsassafrascrank-pool: quoting\r\n";
 
-/// Header line of a usable key.
+/// Header line with a valid idempotency key.
 pub const KEY: &str = "idempotency-key: suva:01890000-0000-7000-8000-000000000001\r\n";
 
-/// An exchange thread, the dispatch thread that the test plays, and the control ring.
-pub struct World {
+/// Running exchange thread, with the stub of the dispatch thread and the control ring.
+pub struct Fixture {
     pub callers: SocketAddr,
-    pub dispatch: Dispatch,
+    pub dispatch: DispatchStub,
     pub control: Sender<Control>,
     thread: thread::JoinHandle<io::Result<()>>,
 }
 
-impl World {
-    /// Starts the thread with the customer `vanua` in force and `controls` in its control ring.
+impl Fixture {
+    /// Starts the exchange thread with a configuration for the customer `vanua`, followed by `controls`.
     pub fn start(limit: Limit, controls: &[Control]) -> Self {
         Self::with_ring(limit, controls, limit.ring_capacity())
     }
 
-    /// Does the same with a given capacity of the ring to the dispatch thread.
+    /// Does the same as [`Self::start`], with a given capacity in messages of the ring to the dispatch thread.
     pub fn with_ring(limit: Limit, controls: &[Control], capacity: usize) -> Self {
         let (own, signal) = (Signal::new(), Signal::new());
         let (outbox, messages) = ring(capacity, &signal);
@@ -103,7 +104,7 @@
         let thread = thread::spawn(move || serve(listener, port, limit));
         Self {
             callers,
-            dispatch: Dispatch::new(messages, replies_in, signal),
+            dispatch: DispatchStub::new(messages, replies_in, signal),
             control,
             thread,
         }
@@ -114,7 +115,7 @@
         Peer::connect(self.callers).await
     }
 
-    /// Closes the thread and waits until it has ended.
+    /// Closes the exchange thread and waits until it has ended.
     pub async fn close(mut self) {
         self.control.send(Control::Close).unwrap();
         let thread = self.thread;
@@ -131,25 +132,29 @@
     tokio::task::LocalSet::new().block_on(&runtime, exchange.run())
 }
 
-/// The present stands still, so that all times in messages are the same in every run.
+/// Clock that always returns the same time, so that all times in messages are the same in every run.
 pub fn clock() -> Time {
     Time::from_millis(1_800_000_000_000)
 }
 
-/// Waits for an event that must come.
+/// Waits for an expected event.
+///
+/// # Panics
+///
+/// Panics with `what` if the event does not occur within [`EVENT_TIMEOUT`].
 pub async fn within<T>(what: &str, event: impl Future<Output = T>) -> T {
-    let event = timeout(PATIENCE, event).await;
-    event.unwrap_or_else(|_| panic!("waited in vain for {what}"))
+    let event = timeout(EVENT_TIMEOUT, event).await;
+    event.unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
-/// Opens a listener for a hand-made upstream.
+/// Opens a listener for an upstream that the test controls byte by byte.
 pub async fn upstream() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-/// Makes a request with the ordinary headers.
+/// Returns the text of a GET request with the ordinary headers.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\n{HEADERS}\r\n")
 }
@@ -158,7 +163,7 @@
     Name::new(text).unwrap()
 }
 
-/// Makes a configuration with `customers` customers; the first is `vanua` with the credential `secret`.
+/// Returns a configuration with `customers` customers; the first is `vanua` with the credential `secret`.
 pub fn snapshot(customers: usize) -> Snapshot {
     let customer = |index: usize| {
         let (customer, credential) = match index {
@@ -215,19 +220,19 @@
     }
 }
 
-/// Sends a request and has it forwarded to `listener`; returns the three ends.
+/// Sends a request and has it forwarded to `listener`; returns the caller, the upstream and the handle of the request.
 pub async fn forwarded(
-    world: &mut World,
+    fixture: &mut Fixture,
     listener: &TcpListener,
     text: &str,
-    patience: Duration,
+    attempt_timeout: Duration,
 ) -> (Peer, Peer, caller::Handle) {
-    let mut caller = world.caller().await;
+    let mut caller = fixture.caller().await;
     caller.write(text).await;
-    let handle = world.dispatch.arrival().await;
-    world
+    let handle = fixture.dispatch.arrival().await;
+    fixture
         .dispatch
-        .forward(handle, listener.local_addr().unwrap(), patience);
+        .forward(handle, listener.local_addr().unwrap(), attempt_timeout);
     let mut upstream = Peer::accept(listener).await;
     upstream.head().await;
     (caller, upstream, handle)
--- a/crates/exchange/tests/common/peer.rs
+++ b/crates/exchange/tests/common/peer.rs
@@ -1,4 +1,4 @@
-//! A caller or an upstream that reads and writes bytes.
+//! Caller or upstream that reads and writes raw bytes.
 
 use super::within;
 use bytes::BytesMut;
@@ -14,7 +14,7 @@
     },
 };
 
-/// One end of a connection and what it has read ahead.
+/// One end of a connection, with the bytes that were read but not consumed.
 pub struct Peer {
     pub stream: TcpStream,
     buffer: BytesMut,
@@ -63,7 +63,7 @@
         String::from_utf8(self.buffer.split_to(size).to_vec()).unwrap()
     }
 
-    /// Reads a head and as much body as it announces.
+    /// Reads a head and a body of the length that the head announces.
     pub async fn answer(&mut self) -> String {
         let head = self.head().await;
         let size = head
@@ -80,7 +80,7 @@
         String::from_utf8_lossy(&rest).into_owned()
     }
 
-    /// Reads more; tells whether the connection is still open.
+    /// Reads more bytes; returns whether the connection is still open.
     async fn fill(&mut self) -> bool {
         let read = self.stream.read_buf(&mut self.buffer);
         within("bytes of the other end", read).await.unwrap_or(0) > 0
--- a/crates/exchange/tests/head.rs
+++ b/crates/exchange/tests/head.rs
@@ -1,9 +1,9 @@
-//! Heads of requests, and many streams on one connection.
+//! Validation of request heads, and many HTTP/2 streams on one connection.
 
 mod common;
 
 use common::{
-    World,
+    Fixture,
     within, //
 };
 use core::time::Duration;
@@ -38,7 +38,7 @@
     runner::Settings, //
 };
 
-const NAMES: [&str; 7] = [
+const HEADER_NAMES: [&str; 7] = [
     "authorization",
     "sassafrascrank-pool",
     "sassafrascrank-urgency",
@@ -47,7 +47,7 @@
     "idempotency-key",
     "x-other",
 ];
-const VALUES: [&str; 9] = [
+const HEADER_VALUES: [&str; 9] = [
     "Bearer secret",
     "Bearer ",
     "quoting",
@@ -60,19 +60,20 @@
 ];
 
 fn value() -> impl Strategy<Value = Vec<u8>> {
-    let known = prop::sample::select(&VALUES[..]).prop_map(|value| value.as_bytes().to_vec());
+    let known =
+        prop::sample::select(&HEADER_VALUES[..]).prop_map(|value| value.as_bytes().to_vec());
     prop_oneof![known, prop::collection::vec(any::<u8>(), 0..200)]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(4_000) })]
 
-    /// Guards against a head that ends the thread, an error that does not tell what to change, and a request that is
-    /// admitted without a key but may run only once. proptest prints the smallest failing head and its seed.
+    /// Guards against a head that causes a panic, an error that does not say what to change, and a non-idempotent request
+    /// that is accepted without a key. proptest prints the smallest failing head and its seed.
     #[test]
     fn any_head_is_admitted_or_refused_with_a_remedy(
         post: bool,
-        headers in prop::collection::vec((prop::sample::select(&NAMES[..]), value()), 0..9),
+        headers in prop::collection::vec((prop::sample::select(&HEADER_NAMES[..]), value()), 0..9),
     ) {
         let mut request = Request::new(());
         *request.method_mut() = if post { Method::POST } else { Method::GET };
@@ -91,7 +92,7 @@
             }
             Err(error) => {
                 let text = error.to_string();
-                let named = NAMES.iter().any(|name| text.contains(name));
+                let named = HEADER_NAMES.iter().any(|name| text.contains(name));
                 let named = named || matches!(error, Error::Credential | Error::Pool(_));
                 prop_assert!(named && text.contains(": "), "{}", text);
             }
@@ -99,13 +100,15 @@
     }
 }
 
-/// Guards against streams of one connection that get each other's answers, or that block each other.
+/// Guards against HTTP/2 streams of one connection that receive each other's answers, or that block each other.
 #[tokio::test]
 async fn many_streams_of_one_connection_get_their_own_answers() {
     const STREAMS: usize = 150;
-    let mut world = World::start(Limit::default(), &[]);
+    let mut fixture = Fixture::start(Limit::default(), &[]);
     let runner = Runner::start(Settings::default()).unwrap();
-    let stream = tokio::net::TcpStream::connect(world.callers).await.unwrap();
+    let stream = tokio::net::TcpStream::connect(fixture.callers)
+        .await
+        .unwrap();
     let (sender, connection) = http2::handshake(TokioExecutor::new(), TokioIo::new(stream))
         .await
         .unwrap();
@@ -130,19 +133,19 @@
         .collect();
     let mut waiting = Vec::new();
     for _ in 0..STREAMS {
-        waiting.push(world.dispatch.arrival().await);
+        waiting.push(fixture.dispatch.arrival().await);
     }
-    // The last comes first, eight at a time, as the slots of the runner allow.
+    // Forwards the latest requests first, eight at a time, since the runner has eight slots.
     while !waiting.is_empty() {
         let rest = waiting.len().saturating_sub(8);
         let batch = waiting.split_off(rest);
         for caller in &batch {
-            world
+            fixture
                 .dispatch
                 .forward(*caller, runner.address(), Duration::from_secs(60));
         }
         for _ in &batch {
-            assert_eq!(world.dispatch.event().await, "finish Answered(0ns)");
+            assert_eq!(fixture.dispatch.event().await, "finish Answered(0ns)");
         }
     }
     for stream in streams {
@@ -150,5 +153,5 @@
         assert_eq!(answer, expected);
     }
     drop(sender);
-    world.close().await;
+    fixture.close().await;
 }
--- a/crates/exchange/tests/keyed.rs
+++ b/crates/exchange/tests/keyed.rs
@@ -1,18 +1,18 @@
-//! Refusals that are made before the owner of a key was asked.
+//! Refusals before the owner of an idempotency key was asked.
 
 mod common;
 
 use common::{
+    Fixture, //
     HEADERS,
     KEY,
     Peer,
-    World, //
 };
 use core::time::Duration;
 use sassafrascrank_exchange::Limit;
 use std::fmt::Write;
 
-/// Status line, outcome and detail of a refusal.
+/// Reads a refusal and returns its status line, outcome, `Retry-After` and detail.
 async fn refusal(caller: &mut Peer) -> String {
     let answer = caller.answer().await;
     let status = answer.lines().next().unwrap();
@@ -38,8 +38,8 @@
     }
 }
 
-/// Guards against a "not run" about a request whose key an earlier attempt may have used, and against an "unknown"
-/// about a request that certainly did not run.
+/// Guards against the outcome "not run" for a request whose key an earlier attempt may have used, and against "unknown"
+/// for a request that certainly did not run.
 #[tokio::test]
 async fn only_requests_without_a_usable_key_are_refused_as_not_run() {
     let good = HEADERS.to_owned();
@@ -54,7 +54,7 @@
         ),
         ("slow body", format!("{good}content-length: 9\r\n"), "abc"),
     ];
-    // Bodies of other requests are streamed instead.
+    // These bodies are refused only in requests with a key; other requests would be streamed.
     let keyed = [
         ("large body", format!("{good}content-length: 101\r\n")),
         (
@@ -63,7 +63,7 @@
         ),
         ("full buffer", format!("{good}content-length: 41\r\n")),
     ];
-    let world = World::start(limit(), &[]);
+    let fixture = Fixture::start(limit(), &[]);
     let mut report = String::new();
     for (what, headers, body) in cases {
         for (method, key) in [
@@ -71,7 +71,7 @@
             ("POST", "idempotency-key: 7\r\n"),
             ("PUT", KEY),
         ] {
-            let mut caller = world.caller().await;
+            let mut caller = fixture.caller().await;
             let text = format!("{method} / HTTP/1.1\r\n{headers}{key}\r\n{body}");
             caller.write(&text).await;
             let key = key.trim_end().chars().take(22).collect::<String>();
@@ -80,32 +80,33 @@
         }
     }
     for (what, headers) in keyed {
-        let mut caller = world.caller().await;
+        let mut caller = fixture.caller().await;
         let body = format!("65\r\n{}\r\n0\r\n\r\n", "x".repeat(0x65));
         let text = format!("POST / HTTP/1.1\r\n{headers}{KEY}\r\n{body}");
         caller.write(&text).await;
         let refusal = refusal(&mut caller).await;
         writeln!(report, "{what}: {refusal}").unwrap();
     }
-    world.close().await;
+    fixture.close().await;
     insta::assert_snapshot!(report);
 }
 
-/// Guards against the same fault where the thread has no place for a caller, or the ring no room for its message.
+/// Guards against a wrong outcome when the exchange thread has no place for another caller, or when the ring to the
+/// dispatch thread has no room for the message.
 #[tokio::test]
 async fn overload_says_not_run_only_without_a_key() {
     let mut report = String::new();
     for (what, callers, capacity) in [("no place", 1, 8), ("full ring", 8, 1)] {
         let limit = Limit { callers, ..limit() };
-        let mut world = World::with_ring(limit, &[], capacity);
-        let mut first = world.caller().await;
+        let mut fixture = Fixture::with_ring(limit, &[], capacity);
+        let mut first = fixture.caller().await;
         first.write(&common::get("/")).await;
         let mut waiting = None;
         if what == "no place" {
-            waiting = Some(world.dispatch.arrival().await);
+            waiting = Some(fixture.dispatch.arrival().await);
         }
         for (method, key) in [("GET", ""), ("POST", KEY)] {
-            let mut caller = world.caller().await;
+            let mut caller = fixture.caller().await;
             let text = format!("{method} / HTTP/1.1\r\n{HEADERS}{key}\r\n");
             caller.write(&text).await;
             let refusal = refusal(&mut caller).await;
@@ -113,12 +114,12 @@
         }
         let waiting = match waiting {
             Some(waiting) => waiting,
-            None => world.dispatch.arrival().await,
+            None => fixture.dispatch.arrival().await,
         };
-        world.dispatch.refuse(waiting);
+        fixture.dispatch.refuse(waiting);
         first.answer().await;
         drop(first);
-        world.close().await;
+        fixture.close().await;
     }
     insta::assert_snapshot!(report);
 }
