--- a/crates/exchange/src/server/admission.rs
+++ b/crates/exchange/src/server/admission.rs
@@ -55,6 +55,7 @@
     response
 }
 
+/// Checks a request, reads its body if it must be held, and handles it.
 async fn admit(context: &Rc<Context>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let keyed = is_keyed(&parts);
@@ -86,6 +87,7 @@
     response
 }
 
+/// Handles an accepted request until its answer, or until the deadline of its caller if it may run only once.
 async fn run(
     context: &Rc<Context>,
     id: Id,
@@ -110,6 +112,7 @@
     }
 }
 
+/// Returns the refusal of a request whose body can't be held.
 fn refuse_body(context: &Context, error: request::Error, keyed: bool) -> Response<ResponseBody> {
     let (refusal, status) = match error {
         request::Error::Incomplete(_) => (refusal(Reason::Malformed, keyed), None),
--- a/crates/exchange/src/server/handler.rs
+++ b/crates/exchange/src/server/handler.rs
@@ -74,7 +74,7 @@
     waiter: Option<Waiter>,
     head: Head,
     outgoing: OutgoingRequest,
-    /// Whether the dispatch thread has to be told when the handler is dropped, because it still tracks the request.
+    /// Whether dropping the handler must cancel the request at the dispatch thread, which still tracks it.
     cancel_on_drop: bool,
 }
 
@@ -200,8 +200,8 @@
 
     /// Ends an attempt that may have run.
     ///
-    /// Returns a refusal if the caller did not send its body, and otherwise `None`: the dispatch thread decides on the next
-    /// step.
+    /// Returns a refusal if the caller did not send its whole body. Otherwise returns `None`, and the dispatch thread
+    /// decides on the next step.
     fn fail_attempt(&mut self, result: AttemptResult) -> Option<Response<ResponseBody>> {
         if !self.outgoing.is_caller_fault(result) {
             self.send_finish(result, None);
@@ -291,7 +291,7 @@
         };
         match self.attempt_guard(connection, Duration::ZERO, false) {
             Some(mut guard) => {
-                // The dispatch thread of this entry tracks no attempt for it, so there is no result to report.
+                // The dispatch thread of this entry tracks no attempt for this request, so there is no result to report.
                 guard.reported = true;
                 relay(response, VecDeque::new(), deadline, guard, Source::Owner)
             }
--- a/crates/exchange/src/server/relay.rs
+++ b/crates/exchange/src/server/relay.rs
@@ -164,7 +164,7 @@
     pub(super) fn new(
         prefix: VecDeque<Bytes>,
         incoming: Incoming,
-        until: Instant,
+        deadline: Instant,
         guard: AttemptGuard,
     ) -> Self {
         let mut relay = Self {
@@ -175,7 +175,7 @@
         };
         relay.complete_if_ended();
         if !relay.incoming.is_end_stream() {
-            relay.timeout_task = Some(spawn_timeout(&relay.guard, until));
+            relay.timeout_task = Some(spawn_timeout(&relay.guard, deadline));
         }
         relay
     }
@@ -218,11 +218,11 @@
     }
 }
 
-/// Spawns a task that ends the attempt at `until`, even if the caller does not read and so nothing polls the body.
-fn spawn_timeout(guard: &Rc<RefCell<AttemptGuard>>, until: Instant) -> AbortHandle {
+/// Spawns a task that ends the attempt at `deadline`, even if the caller does not read and so nothing polls the body.
+fn spawn_timeout(guard: &Rc<RefCell<AttemptGuard>>, deadline: Instant) -> AbortHandle {
     let guard = Rc::downgrade(guard);
     let timeout_task = tokio::task::spawn_local(async move {
-        sleep_until(until).await;
+        sleep_until(deadline).await;
         if let Some(guard) = guard.upgrade() {
             guard.borrow_mut().expire();
         }
--- a/crates/exchange/src/server/request.rs
+++ b/crates/exchange/src/server/request.rs
@@ -166,13 +166,15 @@
     pub(super) fn request(
         &mut self,
         account: Option<&Account>,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<Request<RequestBody>> {
         let body = match &mut self.body {
             BodySource::Held(bytes) => Either::Left(Full::new(bytes.clone())),
-            BodySource::Streamed(body) => {
-                Either::Right(Upload::new(body.take()?, until, self.upload_state.clone()))
-            }
+            BodySource::Streamed(body) => Either::Right(Upload::new(
+                body.take()?,
+                deadline,
+                self.upload_state.clone(),
+            )),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.parts.method.clone();
--- a/crates/exchange/src/server/upload.rs
+++ b/crates/exchange/src/server/upload.rs
@@ -30,7 +30,7 @@
 /// Without the time limit, a caller that stops sending would occupy the connection to the upstream indefinitely.
 pub struct Upload {
     incoming: Incoming,
-    until: Pin<Box<Sleep>>,
+    timeout: Pin<Box<Sleep>>,
     upload_state: Rc<Cell<UploadState>>,
 }
 
@@ -61,12 +61,12 @@
 impl Upload {
     pub(super) fn new(
         incoming: Incoming,
-        until: Instant,
+        deadline: Instant,
         upload_state: Rc<Cell<UploadState>>,
     ) -> Self {
         Self {
             incoming,
-            until: Box::pin(sleep_until(until)),
+            timeout: Box::pin(sleep_until(deadline)),
             upload_state,
         }
     }
@@ -85,7 +85,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let this = self.get_mut();
-        if this.until.as_mut().poll(cx).is_ready() {
+        if this.timeout.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Some(Err(Error::TimedOut)));
         }
         let frame = Pin::new(&mut this.incoming).poll_frame(cx);
