--- a/crates/exchange/src/caller/directory.rs
+++ b/crates/exchange/src/caller/directory.rs
@@ -44,8 +44,8 @@
 impl Directory {
     /// Returns the customer whose contract contains the digest of `credential`.
     ///
-    /// The hash uses a secret key of this process, so the duration of the look-up reveals nothing about the digests, and
-    /// the final comparison takes constant time.
+    /// The hash uses a secret key of this process, so the duration of the look-up reveals nothing about the digests,
+    /// and the final comparison takes constant time.
     pub fn authenticate(&self, credential: &[u8]) -> Option<&Account> {
         let digest = Sha256::digest(credential);
         let position = self.index.get(&self.hash_key.hash_one(digest.as_slice()))?;
--- a/crates/exchange/src/server/handler.rs
+++ b/crates/exchange/src/server/handler.rs
@@ -291,7 +291,7 @@
         };
         match self.attempt_guard(connection, Duration::ZERO, false) {
             Some(mut guard) => {
-                // The dispatch thread of this entry tracks no attempt for this request, so there is no result to report.
+                // The dispatch thread of this entry tracks no attempt of this request, so it needs no result.
                 guard.reported = true;
                 relay(response, VecDeque::new(), deadline, guard, Source::Owner)
             }
--- a/crates/exchange/src/server/limit.rs
+++ b/crates/exchange/src/server/limit.rs
@@ -14,8 +14,8 @@
     /// Largest body in bytes of a request with an idempotency key; it is always held, because the fingerprint of the
     /// request covers the whole body.
     pub keyed_body_bytes: usize,
-    /// Most memory in bytes for held request bodies. Above it, idempotent requests are streamed and can't be retried, and
-    /// requests with an idempotency key are refused.
+    /// Most memory in bytes for held request bodies. Above it, idempotent requests are streamed and can't be retried,
+    /// and requests with an idempotency key are refused.
     pub buffer_bytes: usize,
     /// Largest head of a request in bytes.
     pub head_bytes: usize,
--- a/crates/exchange/src/server/outbox.rs
+++ b/crates/exchange/src/server/outbox.rs
@@ -18,7 +18,7 @@
 
     /// Sends a message; returns whether the ring had room for it.
     ///
-    /// The ring has room for every message of every waiting request, so it is full only if the dispatch thread has died.
+    /// The ring has room for every message of every waiting request, so it is full only if that thread has died.
     pub(super) fn send(&self, message: Message) -> bool {
         self.0.borrow_mut().send(message).is_ok()
     }
--- a/crates/exchange/src/server/request.rs
+++ b/crates/exchange/src/server/request.rs
@@ -162,7 +162,7 @@
 
     /// Returns the request for the next attempt, or `None` if its body was streamed before.
     ///
-    /// `account` is the customer to name to an upstream; without it, the credential is forwarded to the owner of the key.
+    /// `account` is the customer to name to an upstream; without it, the credential is forwarded to the key's owner.
     pub(super) fn request(
         &mut self,
         account: Option<&Account>,
--- a/crates/exchange/tests/answers.rs
+++ b/crates/exchange/tests/answers.rs
@@ -73,8 +73,9 @@
     }
 }
 
-/// Guards against a truncated answer that its caller mistakes for a complete one, and against a slot that is granted for
-/// a retry and never released: a truncated answer that the caller has seen in part must be followed by a cancellation.
+/// Guards against a truncated answer that its caller mistakes for a complete one, and against a slot that is granted
+/// for a retry and never released: a truncated answer that the caller has seen in part must be followed by a
+/// cancellation.
 #[tokio::test]
 async fn truncated_answers_are_never_passed_on_as_complete() {
     let mut report = String::new();
--- a/crates/exchange/tests/head.rs
+++ b/crates/exchange/tests/head.rs
@@ -68,8 +68,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(4_000) })]
 
-    /// Guards against a head that causes a panic, an error that does not say what to change, and a non-idempotent request
-    /// that is accepted without a key. proptest prints the smallest failing head and its seed.
+    /// Guards against a head that causes a panic, an error that does not say what to change, and a non-idempotent
+    /// request that is accepted without a key. proptest prints the smallest failing head and its seed.
     #[test]
     fn any_head_is_admitted_or_refused_with_a_remedy(
         post: bool,
