--- a/crates/daemon/src/dispatch/peering.rs
+++ b/crates/daemon/src/dispatch/peering.rs
@@ -32,9 +32,9 @@
 };
 use sassafrascrank_peer::message::{
     Demand as Reported,
+    DrainNotice as Leaving,
     Handover,
-    Sign as Leaving,
-    Tag, //
+    PoolHash, //
 };
 use sassafrascrank_route::DrainSource;
 
@@ -134,9 +134,9 @@
             .filter_map(|demand| {
                 let pool = pools.iter().find(|pool| pool.key == demand.pool)?;
                 Some(Reported {
-                    pool: Tag::of(&pool.name),
-                    slots: demand.millislots,
-                    spill: demand.spill_millislots,
+                    pool: PoolHash::of(&pool.name),
+                    millislots: demand.millislots,
+                    spill_millislots: demand.spill_millislots,
                 })
             });
         let demands = demands.collect();
@@ -154,11 +154,11 @@
         let demands = demands.iter().filter_map(|demand| {
             let pool = pools
                 .iter()
-                .find(|pool| Tag::of(&pool.name) == demand.pool)?;
+                .find(|pool| PoolHash::of(&pool.name) == demand.pool)?;
             Some(Demand {
                 pool: pool.key,
-                millislots: demand.slots,
-                spill_millislots: demand.spill,
+                millislots: demand.millislots,
+                spill_millislots: demand.spill_millislots,
             })
         });
         demands.collect()
--- a/crates/daemon/src/peer/answer.rs
+++ b/crates/daemon/src/peer/answer.rs
@@ -8,16 +8,16 @@
     },
 };
 use sassafrascrank_exchange::message::Answer;
-use sassafrascrank_peer::message::Stored;
+use sassafrascrank_peer::message::StoredAnswer;
 
 /// Returns the form that is sent to another entry.
-pub fn stored(answer: &Answer) -> Stored {
+pub fn stored(answer: &Answer) -> StoredAnswer {
     let headers = answer.headers.iter();
     let headers = headers.map(|(name, value)| {
         let value = value.as_bytes().to_vec();
         (name.as_str().to_owned(), value.into())
     });
-    Stored {
+    StoredAnswer {
         status: answer.status.as_u16(),
         headers: headers.collect(),
         body: answer.body.clone(),
@@ -25,7 +25,7 @@
 }
 
 /// Returns the form that is given to callers; a header that HTTP does not allow is left out.
-pub fn kept(stored: Stored) -> Answer {
+pub fn kept(stored: StoredAnswer) -> Answer {
     let mut headers = HeaderMap::with_capacity(stored.headers.len());
     for (name, value) in &stored.headers {
         let name = HeaderName::try_from(name.as_str());
--- a/crates/daemon/src/peer/handler.rs
+++ b/crates/daemon/src/peer/handler.rs
@@ -4,8 +4,8 @@
 use crate::dispatch::Directive;
 use sassafrascrank_peer::{
     message::{
-        After,
         Handover,
+        KnownState,
         Report,
         State, //
     },
@@ -27,7 +27,7 @@
         self.0.compose(key).ok_or_else(unknown)
     }
 
-    async fn state(&self, after: After) -> Result<State, Refusal> {
+    async fn state(&self, after: KnownState) -> Result<State, Refusal> {
         let holding = self.0.holding.borrow();
         let config = holding
             .config
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/link.rs
@@ -26,8 +26,8 @@
         Client, //
     },
     message::{
-        After,
         Handover,
+        KnownState,
         Report,
         Sender as Identity,
         State, //
@@ -142,7 +142,7 @@
         while !self.take_notices() {
             self.exchange();
             let now = (self.shared.clock)();
-            let next = self.shared.roster.borrow().next(now);
+            let next = self.shared.roster.borrow().next_wakeup(now);
             let ready = || self.notices.iter().any(|ring| !ring.is_empty());
             let deadline = Instant::now() + next.since(now);
             timeout_at(deadline, self.signal.wait(ready)).await.ok();
@@ -175,7 +175,11 @@
             tokio::task::spawn_local(self.shared.clone().report(key));
         }
         let have = self.shared.have();
-        let newer = self.shared.roster.borrow_mut().newer(now, have);
+        let newer = self
+            .shared
+            .roster
+            .borrow_mut()
+            .choose_state_source(now, have);
         if let Some(key) = newer {
             tokio::task::spawn_local(self.shared.clone().fetch(key, have));
         }
@@ -185,7 +189,7 @@
 impl Shared {
     /// Takes a report that a peer sent.
     pub(super) fn hear(&self, report: &Report) -> Option<Key> {
-        let key = self.roster.borrow_mut().hear((self.clock)(), report)?;
+        let key = self.roster.borrow_mut().receive((self.clock)(), report)?;
         self.pass_on(key, report);
         Some(key)
     }
@@ -220,7 +224,7 @@
         match notice {
             Notice::Demand { demands, joining } => {
                 roster.publish(demands);
-                roster.seek_witness(joining);
+                roster.set_joining(joining);
                 let published = roster.published().copied().collect();
                 // What does not fit is followed by the next one in a second.
                 self.send(Directive::Published(published));
@@ -228,12 +232,12 @@
             Notice::Requests(requests) => {
                 requests
                     .into_iter()
-                    .for_each(|request| roster.request(request));
+                    .for_each(|request| roster.queue_request(request));
             }
-            Notice::Answer(to, answer) => roster.answer(&to, answer),
-            Notice::Testimony(witness) => roster.testify(witness),
-            Notice::Postpone(entry) => roster.postpone((self.clock)(), &entry),
-            Notice::Leaving(sign) => roster.notice((self.clock)(), sign),
+            Notice::Answer(to, answer) => roster.queue_answer(&to, answer),
+            Notice::Testimony(witness) => roster.queue_join_ack(witness),
+            Notice::Postpone(entry) => roster.postpone_retirement((self.clock)(), &entry),
+            Notice::Leaving(sign) => roster.announce_drain((self.clock)(), sign),
             Notice::Accepted(number, result) => {
                 if let Some(sender) = self.acceptances.borrow_mut().remove(&number) {
                     // The peer may have gone.
@@ -242,15 +246,15 @@
             }
             Notice::Holding(holding) => {
                 let now = (self.clock)();
-                roster.follow(now, &holding.member, |member| member.address);
+                roster.update_members(now, &holding.member, |member| member.address);
                 let zone = roster.zone().clone();
                 let mut status = self.status.borrow_mut();
-                status.through = holding.config.as_ref().map_or(0, |image| image.through);
-                status.offset = holding.member.offset;
+                status.config_offset = holding.config.as_ref().map_or(0, |image| image.through);
+                status.membership_offset = holding.member.offset;
                 status.revision = holding.member.zone(&zone).map_or(0, |zone| zone.revision);
                 self.holding.replace(holding);
             }
-            Notice::Rename(entry) => roster.rename(entry),
+            Notice::Rename(entry) => roster.set_entry(entry),
             Notice::HandOver(..) | Notice::Stop => {}
         }
     }
@@ -267,7 +271,7 @@
                 roster::Event::Found(_) => self.record(Event::new(now, Kind::PeerFound)),
                 roster::Event::Retire(entry) => {
                     if !self.send(Directive::Retire(entry.clone())) {
-                        self.roster.borrow_mut().postpone(now, &entry);
+                        self.roster.borrow_mut().postpone_retirement(now, &entry);
                     }
                 }
             }
@@ -287,15 +291,15 @@
         let now = (self.clock)();
         match result {
             Ok(answer) => {
-                self.roster.borrow_mut().succeed(now, key, &answer);
+                self.roster.borrow_mut().record_success(now, key, &answer);
                 self.pass_on(key, &answer);
             }
-            Err(_) => self.roster.borrow_mut().fail(now, key),
+            Err(_) => self.roster.borrow_mut().record_failure(now, key),
         }
     }
 
     /// Fetches newer state from a peer for the platform thread.
-    async fn fetch(self: Rc<Self>, key: Key, have: After) {
+    async fn fetch(self: Rc<Self>, key: Key, have: KnownState) {
         let address = self.roster.borrow().peer(key).map(roster::Peer::address);
         let Some(address) = address else {
             return;
@@ -332,21 +336,21 @@
             zone: report.sender.zone.clone(),
             callers: report.sender.callers,
             demands: demands.unwrap_or_default(),
-            signs: report.signs.clone(),
+            signs: report.drain_notices.clone(),
             request: report.request.clone(),
             answer: report.answer.clone(),
             joining: report.joining,
-            witness: report.witness.clone(),
+            witness: report.join_ack.clone(),
         };
         // A report that does not fit is followed by the next one in a second.
         self.send(Directive::Heard(Box::new(heard)));
     }
 
-    fn have(&self) -> After {
+    fn have(&self) -> KnownState {
         let status = self.status.borrow();
-        After {
-            config: status.through,
-            member: status.offset,
+        KnownState {
+            config: status.config_offset,
+            member: status.membership_offset,
             hosts: !self.holding.borrow().hosts.is_empty(),
         }
     }
--- a/crates/daemon/src/peer/port.rs
+++ b/crates/daemon/src/peer/port.rs
@@ -18,9 +18,9 @@
 use sassafrascrank_observe::event::Sink;
 use sassafrascrank_peer::message::{
     Demand,
+    DrainNotice,
     Handover,
     Host,
-    Sign,
     State, //
 };
 use sassafrascrank_ring::{
@@ -42,7 +42,7 @@
     /// Its whole demand.
     pub demands: Vec<Demand>,
     /// Upstreams that are leaving.
-    pub signs: Vec<Sign>,
+    pub signs: Vec<DrainNotice>,
     /// Asks this entry to confirm a view.
     pub request: Option<Request>,
     /// Answers a request of this entry.
@@ -83,7 +83,7 @@
     /// A member could not be retired now.
     Postpone(Entry),
     /// An upstream is leaving.
-    Leaving(Sign),
+    Leaving(DrainNotice),
     /// Outcomes that a peer needs.
     HandOver(Box<Handover>, SocketAddr),
     /// Whether the handover with this number was accepted.
--- a/crates/daemon/src/platform/follower.rs
+++ b/crates/daemon/src/platform/follower.rs
@@ -58,7 +58,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(1_200);
 /// Rounds between two reads of the configuration and of the host list. A configuration has to be in force everywhere
 /// within 8 s, and new work for a leaving upstream has to stop within 3 s. Reading them in every second round keeps an
-/// unchanged platform below the 250 of 2,048 bytes a second that `peer::roster::PLATFORM_BYTES` leaves for it.
+/// unchanged platform below the 250 of 2,048 bytes a second that `peer::roster::PLATFORM_BYTES_PER_SECOND` leaves for
+/// it.
 const CONFIGURATION_ROUNDS: u32 = 2;
 /// What the log is assumed to keep at least: the records of a week at the target's 1,300 changes a day.
 const RETENTION: Retention = Retention {
--- a/crates/peer/src/client/client.rs
+++ b/crates/peer/src/client/client.rs
@@ -11,7 +11,7 @@
 use crate::{
     message::{
         self,
-        After,
+        KnownState,
         Report,
         State, //
     },
@@ -116,12 +116,12 @@
     /// # Errors
     ///
     /// Fails if there is no connection, the time runs out, the peer refuses, or the answer doesn't fit.
-    pub async fn state(&mut self, after: After) -> Result<State, Error> {
+    pub async fn state(&mut self, after: KnownState) -> Result<State, Error> {
         let bound = Bound {
             time: self.limit.transfer,
             bytes: STATE_LIMIT,
         };
-        let After {
+        let KnownState {
             config,
             member,
             hosts,
@@ -136,7 +136,7 @@
         let state: wire::State = wire::decode(&body, STATE_LIMIT)?;
         let state = State::try_from(state)?;
         self.connection = Some(connection);
-        Ok(state.newer(after))
+        Ok(state.newer_than(after))
     }
 
     /// Hands over outcomes.
--- a/crates/peer/src/client/connection.rs
+++ b/crates/peer/src/client/connection.rs
@@ -6,7 +6,7 @@
 };
 use crate::wire::{
     self,
-    Link, //
+    ConnectionState, //
 };
 use bytes::Bytes;
 use core::{
@@ -48,7 +48,7 @@
     address: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    pub(super) link: Link,
+    pub(super) link: ConnectionState,
 }
 
 /// Why there is no answer.
@@ -85,7 +85,7 @@
             address,
             sender,
             driver: driver.abort_handle(),
-            link: Link::default(),
+            link: ConnectionState::default(),
         })
     }
 
--- a/crates/peer/src/message/demand.rs
+++ b/crates/peer/src/message/demand.rs
@@ -1,6 +1,6 @@
 //! Demand for a pool, and its short form.
 
-use super::Tag;
+use super::PoolHash;
 
 /// Smallest demand that is told apart from none, in thousandths of a slot.
 const UNIT: u64 = 125;
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Demand {
     /// The pool.
-    pub pool: Tag,
+    pub pool: PoolHash,
     /// Slots that the entry could use; 0 if the demand has ended.
-    pub slots: u64,
+    pub millislots: u64,
     /// The part of it that may use other availability zones.
-    pub spill: u64,
+    pub spill_millislots: u64,
 }
 
 /// Demand in one byte: eight steps for each factor of two, so that a value is off by 5% at most.
@@ -30,8 +30,8 @@
     pub fn rounded(self) -> Self {
         Self {
             pool: self.pool,
-            slots: Level::of(self.slots).value(),
-            spill: Level::of(self.spill).value(),
+            millislots: Level::of(self.millislots).value(),
+            spill_millislots: Level::of(self.spill_millislots).value(),
         }
     }
 }
--- a/crates/peer/src/message/handover.rs
+++ b/crates/peer/src/message/handover.rs
@@ -8,7 +8,7 @@
 
 /// A whole answer of an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Stored {
+pub struct StoredAnswer {
     /// Status code, 100 to 999.
     pub status: u16,
     /// Names in lower case and values, without the headers that belong to a connection.
@@ -18,9 +18,9 @@
 }
 
 /// Outcomes of the keys that moved from one entry to another.
-pub type Handover = table::Handover<Stored>;
+pub type Handover = table::Handover<StoredAnswer>;
 
-impl Size for Stored {
+impl Size for StoredAnswer {
     fn size(&self) -> usize {
         let headers = self.headers.iter();
         let headers: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
--- a/crates/peer/src/message/mod.rs
+++ b/crates/peer/src/message/mod.rs
@@ -3,9 +3,9 @@
 mod demand;
 mod handover;
 mod host;
+mod pool_hash;
 mod report;
 mod state;
-mod tag;
 
 pub use demand::{
     Demand,
@@ -13,16 +13,16 @@
 };
 pub use handover::{
     Handover,
-    Stored, //
+    StoredAnswer, //
 };
 pub use host::Host;
+pub use pool_hash::PoolHash;
 pub use report::{
+    DrainNotice, //
     Report,
     Sender,
-    Sign, //
 };
 pub use state::{
-    After,
+    KnownState,
     State, //
 };
-pub use tag::Tag;
--- a/crates/peer/src/message/report.rs
+++ b/crates/peer/src/message/report.rs
@@ -29,7 +29,7 @@
 
 /// An upstream that is leaving.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Sign {
+pub struct DrainNotice {
     /// Its host.
     pub host: Name,
     /// Incarnation of the host; a later one is not leaving.
@@ -49,17 +49,17 @@
     /// Present time at the sender, in whole milliseconds on the wire.
     pub now: Time,
     /// Offset of the configuration in force, 0 for none.
-    pub through: u64,
+    pub config_offset: u64,
     /// Offset of the membership view.
-    pub offset: u64,
+    pub membership_offset: u64,
     /// Offset of the last record that changed the sender's zone.
     pub revision: u64,
     /// Whether the sender may have missed demand of the receiver, which then sends all of it again.
-    pub reset: bool,
+    pub resend_demand: bool,
     /// Demand of pools that changed since the last report to the same peer, or that are due for a repeat.
     pub demands: Vec<Demand>,
     /// Upstreams that are leaving.
-    pub signs: Vec<Sign>,
+    pub drain_notices: Vec<DrainNotice>,
     /// Asks the receiver to confirm the sender's view; it is from the sender.
     pub request: Option<lease::Request>,
     /// Answer to the receiver's request for confirmation; it is from the sender.
@@ -67,5 +67,5 @@
     /// Whether the sender asks the receiver to testify that it has read the sender's join.
     pub joining: bool,
     /// Testimony of the sender.
-    pub witness: Option<JoinAck>,
+    pub join_ack: Option<JoinAck>,
 }
--- a/crates/peer/src/message/state.rs
+++ b/crates/peer/src/message/state.rs
@@ -6,7 +6,7 @@
 
 /// What the asking process has.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct After {
+pub struct KnownState {
     /// Offset of its configuration.
     pub config: u64,
     /// Offset of its membership view.
@@ -28,7 +28,7 @@
 
 impl State {
     /// Removes what is not newer than the given offsets.
-    pub fn newer(self, after: After) -> Self {
+    pub fn newer_than(self, after: KnownState) -> Self {
         Self {
             config: self.config.filter(|image| image.through > after.config),
             member: self.member.filter(|view| view.offset > after.member),
--- a/crates/peer/src/roster/book.rs
+++ b/crates/peer/src/roster/book.rs
@@ -4,7 +4,7 @@
     message::{
         Demand,
         Level,
-        Tag, //
+        PoolHash, //
     },
     wire::DEMAND_LIMIT, //
 };
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Book {
     /// Last value sent, or `None` if it may not have arrived.
-    sent: BTreeMap<Tag, Option<Demand>>,
-    /// Tag of the last repeat.
-    cursor: Option<Tag>,
+    sent: BTreeMap<PoolHash, Option<Demand>>,
+    /// Pool hash of the last repeat.
+    cursor: Option<PoolHash>,
 }
 
 impl Book {
@@ -33,12 +33,16 @@
     }
 
     /// Chooses at most `limit` pools: one repeat in turn, and those whose demand changed most.
-    pub(super) fn select(&mut self, current: &BTreeMap<Tag, Demand>, limit: usize) -> Vec<Demand> {
+    pub(super) fn select(
+        &mut self,
+        current: &BTreeMap<PoolHash, Demand>,
+        limit: usize,
+    ) -> Vec<Demand> {
         let repeat = self.repeat(current);
         let mut chosen: Vec<Demand> = repeat.into_iter().collect();
-        let sent = |pool: Tag| self.sent.get(&pool).copied().flatten();
+        let sent = |pool: PoolHash| self.sent.get(&pool).copied().flatten();
         let unsure = self.sent.keys().copied();
-        let changes = rank(current, unsure, sent, self.cursor.unwrap_or(Tag(0)));
+        let changes = rank(current, unsure, sent, self.cursor.unwrap_or(PoolHash(0)));
         let repeated = repeat.map(|repeat| repeat.pool);
         let others = changes.filter(|demand| Some(demand.pool) != repeated);
         chosen.extend(others.take(limit.saturating_sub(chosen.len())));
@@ -52,8 +56,8 @@
     }
 
     /// Returns the next pool in the order of tags, so that every value arrives sometime.
-    fn repeat(&mut self, current: &BTreeMap<Tag, Demand>) -> Option<Demand> {
-        let after = |cursor: Tag| (Bound::Excluded(cursor), Bound::Unbounded);
+    fn repeat(&mut self, current: &BTreeMap<PoolHash, Demand>) -> Option<Demand> {
+        let after = |cursor: PoolHash| (Bound::Excluded(cursor), Bound::Unbounded);
         let next = self
             .cursor
             .and_then(|cursor| current.range(after(cursor)).next());
@@ -69,16 +73,16 @@
 /// burst that its peers don't know yet, their parts of the slots would not add up.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bulletin {
-    pub(super) demands: BTreeMap<Tag, Demand>,
-    /// Tag of the last change, after which equal changes go first.
-    cursor: Option<Tag>,
+    pub(super) demands: BTreeMap<PoolHash, Demand>,
+    /// Pool hash of the last change, after which equal changes go first.
+    cursor: Option<PoolHash>,
 }
 
 impl Bulletin {
     /// Takes over at most `limit` changes, the largest first.
-    pub(super) fn follow(&mut self, present: &BTreeMap<Tag, Demand>, limit: usize) {
+    pub(super) fn follow(&mut self, present: &BTreeMap<PoolHash, Demand>, limit: usize) {
         let known = &self.demands;
-        let cursor = self.cursor.unwrap_or(Tag(0));
+        let cursor = self.cursor.unwrap_or(PoolHash(0));
         let known_pools = known.keys().copied();
         let changes = rank(
             present,
@@ -93,9 +97,9 @@
 }
 
 /// Merges changes into what is known of an entry's demand.
-pub(super) fn merge(known: &mut BTreeMap<Tag, Demand>, changes: &[Demand]) {
+pub(super) fn merge(known: &mut BTreeMap<PoolHash, Demand>, changes: &[Demand]) {
     for demand in changes {
-        if demand.slots == 0 {
+        if demand.millislots == 0 {
             known.remove(&demand.pool);
         } else if known.len() < DEMAND_LIMIT || known.contains_key(&demand.pool) {
             known.insert(demand.pool, *demand);
@@ -107,10 +111,10 @@
 ///
 /// The largest relative change goes first, since each pool's slots are divided on their own. Equal changes go in turn.
 fn rank(
-    current: &BTreeMap<Tag, Demand>,
-    pools: impl Iterator<Item = Tag>,
-    known: impl Fn(Tag) -> Option<Demand>,
-    cursor: Tag,
+    current: &BTreeMap<PoolHash, Demand>,
+    pools: impl Iterator<Item = PoolHash>,
+    known: impl Fn(PoolHash) -> Option<Demand>,
+    cursor: PoolHash,
 ) -> impl Iterator<Item = Demand> {
     let ended = pools.filter(|pool| !current.contains_key(pool));
     let ended = ended.map(|pool| (pool, None));
@@ -120,8 +124,8 @@
         let before = known(pool);
         let zero = Demand {
             pool,
-            slots: 0,
-            spill: 0,
+            millislots: 0,
+            spill_millislots: 0,
         };
         let demand = demand.unwrap_or(zero);
         if before == Some(demand) {
@@ -138,5 +142,8 @@
 }
 
 fn levels(demand: Demand) -> (u8, u8) {
-    (Level::of(demand.slots).0, Level::of(demand.spill).0)
+    (
+        Level::of(demand.millislots).0,
+        Level::of(demand.spill_millislots).0,
+    )
 }
--- a/crates/peer/src/roster/sign.rs
+++ b/crates/peer/src/roster/drain_notice.rs
@@ -1,22 +1,22 @@
 //! Drain signs that must still travel.
 
-use super::limit::SIGN_SPAN;
+use super::limit::DRAIN_NOTICE_SPAN;
 use crate::{
-    message::Sign,
-    wire::SIGN_LIMIT, //
+    message::DrainNotice,
+    wire::DRAIN_NOTICE_LIMIT, //
 };
 use sassafrascrank_base::prelude::*;
 use std::collections::VecDeque;
 
-/// Signs of the last 10 s, oldest first.
+/// Drain notices of the last 10 s, oldest first.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Signs {
+pub(super) struct DrainNotices {
     held: VecDeque<Held>,
 }
 
 #[derive(Clone, Debug)]
 struct Held {
-    sign: Sign,
+    notice: DrainNotice,
     since: Time,
     /// Whether this process noticed it itself, so that it passes it on.
     own: bool,
@@ -24,16 +24,16 @@
     urgent: bool,
 }
 
-impl Signs {
+impl DrainNotices {
     /// Adds a sign that this process noticed, and tells whether the oldest one had to go.
-    pub(super) fn notice(&mut self, now: Time, sign: Sign) -> bool {
+    pub(super) fn add_own(&mut self, now: Time, notice: DrainNotice) -> bool {
         self.expire(now);
-        if let Some(held) = self.held.iter_mut().find(|held| held.sign == sign) {
+        if let Some(held) = self.held.iter_mut().find(|held| held.notice == notice) {
             held.own = true;
             return false;
         }
         self.push(Held {
-            sign,
+            notice,
             since: now,
             own: true,
             urgent: true,
@@ -41,14 +41,14 @@
     }
 
     /// Takes note of a sign that a peer sends to everybody; `first` tells whether it does so before this process.
-    pub(super) fn hear(&mut self, now: Time, sign: &Sign, first: bool) -> bool {
+    pub(super) fn add_received(&mut self, now: Time, notice: &DrainNotice, first: bool) -> bool {
         self.expire(now);
-        if let Some(held) = self.held.iter_mut().find(|held| held.sign == *sign) {
+        if let Some(held) = self.held.iter_mut().find(|held| held.notice == *notice) {
             held.urgent &= !first;
             return false;
         }
         self.push(Held {
-            sign: sign.clone(),
+            notice: notice.clone(),
             since: now,
             own: false,
             urgent: false,
@@ -56,10 +56,10 @@
     }
 
     /// Returns the signs to send.
-    pub(super) fn list(&mut self, now: Time) -> Vec<Sign> {
+    pub(super) fn own(&mut self, now: Time) -> Vec<DrainNotice> {
         self.expire(now);
         let own = self.held.iter().filter(|held| held.own);
-        own.map(|held| held.sign.clone()).collect()
+        own.map(|held| held.notice.clone()).collect()
     }
 
     /// Returns the time of the newest urgent sign that has waited for `wait`, and makes all such signs ordinary.
@@ -74,7 +74,7 @@
     }
 
     fn push(&mut self, held: Held) -> bool {
-        let full = self.held.len() >= SIGN_LIMIT;
+        let full = self.held.len() >= DRAIN_NOTICE_LIMIT;
         if full {
             self.held.pop_front();
         }
@@ -86,7 +86,7 @@
         while self
             .held
             .front()
-            .is_some_and(|held| held.since + SIGN_SPAN <= now)
+            .is_some_and(|held| held.since + DRAIN_NOTICE_SPAN <= now)
         {
             self.held.pop_front();
         }
--- a/crates/peer/src/roster/event.rs
+++ b/crates/peer/src/roster/event.rs
@@ -23,5 +23,5 @@
     /// Members and seeds that were ignored because there were too many.
     pub ignored_peers: u64,
     /// Drain signs that were dropped because there were too many; the oldest go first.
-    pub dropped_signs: u64,
+    pub dropped_drain_notices: u64,
 }
--- a/crates/peer/src/roster/exchange.rs
+++ b/crates/peer/src/roster/exchange.rs
@@ -7,9 +7,9 @@
     Roster,
     book,
     limit::{
+        DRAIN_NOTICE_WAIT, //
         REPORT_INTERVAL,
         RETIREMENT_LIMIT,
-        SIGN_WAIT, //
     },
     roster::spread, //
 };
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Status {
     /// Offset of the configuration in force.
-    pub through: u64,
+    pub config_offset: u64,
     /// Offset of the membership view.
-    pub offset: u64,
+    pub membership_offset: u64,
     /// Offset of the last record that changed the own zone.
     pub revision: u64,
 }
@@ -39,10 +39,10 @@
     /// Pools without demand are left out. The largest changes are announced to the peers.
     pub fn publish(&mut self, demands: impl IntoIterator<Item = Demand>) {
         let rounded = demands.into_iter().map(Demand::rounded);
-        let rounded = rounded.filter(|demand| demand.slots > 0);
+        let rounded = rounded.filter(|demand| demand.millislots > 0);
         let present = rounded.map(|demand| (demand.pool, demand)).collect();
         // A report carries one repeat besides the changes.
-        let limit = self.plan.own_items.saturating_sub(1).max(1);
+        let limit = self.plan.own_zone_pools.saturating_sub(1).max(1);
         self.bulletin.follow(&present, limit);
     }
 
@@ -59,43 +59,45 @@
         peer.sequence += 1;
         let demands = &self.bulletin.demands;
         let demands = if peer.own_zone {
-            peer.told.select(demands, self.plan.own_items)
+            peer.told.select(demands, self.plan.own_zone_pools)
         } else {
             // Other zones divide only what may leave this zone.
-            let spill = demands.iter().filter(|(_, demand)| demand.spill > 0);
+            let spill = demands
+                .iter()
+                .filter(|(_, demand)| demand.spill_millislots > 0);
             let spill = spill.map(|(pool, demand)| (*pool, *demand)).collect();
-            peer.told.select(&spill, self.plan.other_items)
+            peer.told.select(&spill, self.plan.other_zone_pools)
         };
         Some(Report {
             sender: self.me.clone(),
             sequence: peer.sequence,
             now,
-            through: status.through,
-            offset: status.offset,
+            config_offset: status.config_offset,
+            membership_offset: status.membership_offset,
             revision: status.revision,
-            reset: peer.missed,
+            resend_demand: peer.missed,
             demands,
-            signs: self.signs.list(now),
+            drain_notices: self.drain_notices.own(now),
             request: peer.request.take(),
             answer: peer.answer.take(),
             joining: self.joining && peer.own_zone,
-            witness: peer.witness.take(),
+            join_ack: peer.join_ack.take(),
         })
     }
 
     /// Takes the report that a peer sent, and returns its key for the answer.
     ///
     /// Returns nothing if there are too many peers, or if the report is from this process itself.
-    pub fn hear(&mut self, now: Time, report: &Report) -> Option<Key> {
+    pub fn receive(&mut self, now: Time, report: &Report) -> Option<Key> {
         let key = self.identify(now, report)?;
         self.take(now, key, report);
         Some(key)
     }
 
     /// Takes the report in the answer of the peer to which a report was sent.
-    pub fn succeed(&mut self, now: Time, key: Key, report: &Report) {
+    pub fn record_success(&mut self, now: Time, key: Key, report: &Report) {
         let Some(known) = self.identify(now, report) else {
-            self.fail(now, key);
+            self.record_failure(now, key);
             return;
         };
         self.take(now, known, report);
@@ -118,15 +120,15 @@
             self.replan();
         } else {
             // The earlier process stays until it is retired or leaves the view.
-            self.fail(now, key);
+            self.record_failure(now, key);
         }
         self.peers[known].seed |= seed;
     }
 
     /// Takes note of an exchange that failed; the next one is due in a second.
-    pub fn fail(&mut self, now: Time, key: Key) {
+    pub fn record_failure(&mut self, now: Time, key: Key) {
         let id = self.id;
-        let interval = self.plan.other_interval;
+        let interval = self.plan.other_zone_interval;
         let Some(peer) = self.peers.get_mut(key) else {
             return;
         };
@@ -180,21 +182,21 @@
             self.events.push(Event::Found(report.sender.entry.clone()));
         }
         self.count.exchanged += 1;
-        peer.heard = now;
+        peer.last_heard = now;
         peer.due = now + wait;
         peer.retire = Some(now + RETIREMENT_LIMIT);
         // A lower offset never replaces a higher one of the same process.
-        peer.through = peer.through.max(report.through);
-        peer.offset = peer.offset.max(report.offset);
-        if report.reset {
+        peer.config_offset = peer.config_offset.max(report.config_offset);
+        peer.membership_offset = peer.membership_offset.max(report.membership_offset);
+        if report.resend_demand {
             peer.told.reset();
         }
         book::merge(&mut peer.demands, &report.demands);
         // Of the entries that noticed a sign, the one with the shortest wait makes its reports due.
-        let first = spread(peer.identity(), SIGN_WAIT) < spread(self.id, SIGN_WAIT);
-        for sign in &report.signs {
-            let dropped = self.signs.hear(now, sign, first);
-            self.count.dropped_signs += u64::from(dropped);
+        let first = spread(peer.identity(), DRAIN_NOTICE_WAIT) < spread(self.id, DRAIN_NOTICE_WAIT);
+        for notice in &report.drain_notices {
+            let dropped = self.drain_notices.add_received(now, notice, first);
+            self.count.dropped_drain_notices += u64::from(dropped);
         }
     }
 
@@ -206,7 +208,7 @@
         let interval = if peer.own_zone {
             REPORT_INTERVAL
         } else {
-            self.plan.other_interval
+            self.plan.other_zone_interval
         };
         let other = peer.identity();
         let first = (self.id < other) == (hash::mix(self.id ^ other) & 1 == 0);
--- a/crates/peer/src/roster/mod.rs
+++ b/crates/peer/src/roster/mod.rs
@@ -1,13 +1,13 @@
 //! Who the peers are, when each was last heard, and to whom a report is due.
 
 mod book;
+mod drain_notice;
 mod event;
 mod exchange;
 mod limit;
 mod peer;
 mod plan;
 mod roster;
-mod sign;
 
 pub use event::{
     Count,
@@ -15,15 +15,15 @@
 };
 pub use exchange::Status;
 pub use limit::{
-    ASK_INTERVAL,
-    BYTE_BUDGET,
+    BYTES_PER_SECOND_BUDGET,
+    DRAIN_NOTICE_SPAN,
     LAG_LIMIT,
     PEER_LIMIT,
-    PLATFORM_BYTES,
+    PLATFORM_BYTES_PER_SECOND,
     REPORT_INTERVAL,
     RETIREMENT_LIMIT,
-    SIGN_SPAN,
     SILENCE_LIMIT, //
+    STATE_REQUEST_INTERVAL,
 };
 pub use peer::{
     Key,
--- a/crates/peer/src/roster/peer.rs
+++ b/crates/peer/src/roster/peer.rs
@@ -3,7 +3,7 @@
 use super::book::Book;
 use crate::message::{
     Demand,
-    Tag, //
+    PoolHash, //
 };
 use core::net::SocketAddr;
 use sassafrascrank_base::{
@@ -37,7 +37,7 @@
     pub(super) member: bool,
     pub(super) own_zone: bool,
     /// When it was last heard, or when it became known.
-    pub(super) heard: Time,
+    pub(super) last_heard: Time,
     /// When the next exchange is due.
     pub(super) due: Time,
     pub(super) in_flight: bool,
@@ -47,14 +47,14 @@
     /// Whether demand that it sent may have been missed.
     pub(super) missed: bool,
     pub(super) sequence: u64,
-    pub(super) through: u64,
-    pub(super) offset: u64,
+    pub(super) config_offset: u64,
+    pub(super) membership_offset: u64,
     pub(super) told: Book,
-    pub(super) demands: BTreeMap<Tag, Demand>,
+    pub(super) demands: BTreeMap<PoolHash, Demand>,
     /// What travels with the next report.
     pub(super) request: Option<lease::Request>,
     pub(super) answer: Option<lease::Answer>,
-    pub(super) witness: Option<JoinAck>,
+    pub(super) join_ack: Option<JoinAck>,
 }
 
 impl Peer {
@@ -66,20 +66,20 @@
             seed: false,
             member: false,
             own_zone: false,
-            heard: now,
+            last_heard: now,
             due: now,
             in_flight: false,
             lost: false,
             retire: None,
             missed: true,
             sequence: 0,
-            through: 0,
-            offset: 0,
+            config_offset: 0,
+            membership_offset: 0,
             told: Book::default(),
             demands: BTreeMap::new(),
             request: None,
             answer: None,
-            witness: None,
+            join_ack: None,
         }
     }
 
@@ -99,8 +99,8 @@
     }
 
     /// Returns the time at which it was last heard, or became known.
-    pub const fn heard(&self) -> Time {
-        self.heard
+    pub const fn last_heard(&self) -> Time {
+        self.last_heard
     }
 
     /// Tells whether it has been silent for too long.
--- a/crates/peer/src/roster/plan.rs
+++ b/crates/peer/src/roster/plan.rs
@@ -1,7 +1,7 @@
 //! How often other zones get a report, and how many pools a report carries.
 
 use super::limit::{
-    BYTE_BUDGET,
+    BYTES_PER_SECOND_BUDGET,
     REPORT_INTERVAL, //
 };
 use crate::wire::DEMAND_LIMIT;
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Plan {
     /// Pools in a report to an entry of the own zone.
-    pub own_items: usize,
+    pub own_zone_pools: usize,
     /// Pools in a report to an entry of another zone.
-    pub other_items: usize,
+    pub other_zone_pools: usize,
     /// Time between two exchanges with an entry of another zone.
-    pub other_interval: Duration,
+    pub other_zone_interval: Duration,
 }
 
 impl Plan {
@@ -34,17 +34,17 @@
     /// to the own zone's demand.
     pub fn new(own: usize, others: usize) -> Self {
         let (own, others) = (own as u64, others as u64);
-        let rest = BYTE_BUDGET.saturating_sub(own * EXCHANGE_BYTES);
+        let rest = BYTES_PER_SECOND_BUDGET.saturating_sub(own * EXCHANGE_BYTES);
         let half = (rest / 2).max(1);
         let bytes = others * (EXCHANGE_BYTES + ITEM_BYTES * OTHER_ITEMS as u64);
         let interval = Duration::from_millis(bytes.saturating_mul(1_000) / half);
         let items = half / (own.max(1) * ITEM_BYTES);
         Self {
-            own_items: usize::try_from(items)
+            own_zone_pools: usize::try_from(items)
                 .unwrap_or(OWN_ITEMS)
                 .clamp(OWN_ITEMS, DEMAND_LIMIT),
-            other_items: OTHER_ITEMS,
-            other_interval: interval.clamp(REPORT_INTERVAL, INTERVAL_LIMIT),
+            other_zone_pools: OTHER_ITEMS,
+            other_zone_interval: interval.clamp(REPORT_INTERVAL, INTERVAL_LIMIT),
         }
     }
 }
--- a/crates/peer/src/roster/roster.rs
+++ b/crates/peer/src/roster/roster.rs
@@ -7,23 +7,23 @@
     Peer,
     Plan,
     book::Bulletin,
+    drain_notice::DrainNotices, //
     limit::{
-        ASK_INTERVAL,
+        DRAIN_NOTICE_WAIT,
         ISOLATION_WAIT,
         LAG_LIMIT,
         PAUSE_LIMIT,
         PEER_LIMIT,
         REPORT_INTERVAL,
         RETIREMENT_LIMIT,
-        SIGN_WAIT,
         SILENCE_LIMIT, //
+        STATE_REQUEST_INTERVAL,
     },
-    sign::Signs, //
 };
 use crate::message::{
-    After,
+    DrainNotice, //
+    KnownState,
     Sender,
-    Sign, //
 };
 use core::net::SocketAddr;
 use sassafrascrank_base::{
@@ -49,13 +49,13 @@
     pub(super) me: Sender,
     pub(super) id: u64,
     pub(super) peers: SlotMap<Key, Peer>,
-    pub(super) signs: Signs,
+    pub(super) drain_notices: DrainNotices,
     pub(super) bulletin: Bulletin,
     pub(super) plan: Plan,
     pub(super) events: Vec<Event>,
     pub(super) count: Count,
     /// Since when a peer has had newer state, and what this process had then.
-    behind: Option<(Time, After)>,
+    behind: Option<(Time, KnownState)>,
     asked: Option<Time>,
     ticked: Time,
     pub(super) joining: bool,
@@ -68,7 +68,7 @@
         let mut roster = Self {
             id,
             peers: SlotMap::with_key(),
-            signs: Signs::default(),
+            drain_notices: DrainNotices::default(),
             bulletin: Bulletin::default(),
             plan: Plan::new(0, 0),
             events: Vec::new(),
@@ -90,7 +90,7 @@
     }
 
     /// Goes on as another incarnation, after the former one was retired.
-    pub fn rename(&mut self, entry: Entry) {
+    pub fn set_entry(&mut self, entry: Entry) {
         self.id = hash::identity(&entry.host, entry.incarnation);
         self.me.entry = entry;
     }
@@ -128,15 +128,20 @@
         self.count
     }
 
-    /// Follows the membership view; `reach` returns where a member listens for peers.
-    pub fn follow(&mut self, now: Time, view: &View, reach: impl Fn(&Member) -> SocketAddr) {
+    /// Follows the membership view; `address_of` returns where a member listens for peers.
+    pub fn update_members(
+        &mut self,
+        now: Time,
+        view: &View,
+        address_of: impl Fn(&Member) -> SocketAddr,
+    ) {
         for peer in self.peers.values_mut() {
             peer.member = false;
         }
         for (name, zone) in &view.zones {
             for member in &zone.members {
                 if member.entry != self.me.entry {
-                    self.keep(now, name, member, reach(member));
+                    self.keep(now, name, member, address_of(member));
                 }
             }
         }
@@ -145,20 +150,20 @@
     }
 
     /// Notices an upstream that is leaving; the sign travels with the reports of the next 10 s.
-    pub fn notice(&mut self, now: Time, sign: Sign) {
-        let dropped = self.signs.notice(now, sign);
-        self.count.dropped_signs += u64::from(dropped);
+    pub fn announce_drain(&mut self, now: Time, notice: DrainNotice) {
+        let dropped = self.drain_notices.add_own(now, notice);
+        self.count.dropped_drain_notices += u64::from(dropped);
     }
 
     /// Returns the peers to which a report is due; each stays in flight until the owner calls
-    /// [`succeed`](Self::succeed) or [`fail`](Self::fail).
+    /// [`record_success`](Self::record_success) or [`record_failure`](Self::record_failure).
     pub fn due(&mut self, now: Time) -> Vec<Key> {
-        let wait = spread(self.id, SIGN_WAIT);
-        if let Some(since) = self.signs.take_urgent(now, wait) {
+        let wait = spread(self.id, DRAIN_NOTICE_WAIT);
+        if let Some(since) = self.drain_notices.take_urgent(now, wait) {
             for peer in self
                 .peers
                 .values_mut()
-                .filter(|peer| peer.heard <= since + wait)
+                .filter(|peer| peer.last_heard <= since + wait)
             {
                 peer.due = peer.due.min(now);
             }
@@ -174,14 +179,14 @@
     }
 
     /// Asks other members for testimonies as long as this process needs one.
-    pub const fn seek_witness(&mut self, joining: bool) {
+    pub const fn set_joining(&mut self, joining: bool) {
         self.joining = joining;
     }
 
     /// Sends a request for confirmation to its target, with a report that is due at once.
     ///
     /// A confirmation that waits for two reports would use up 2 s of a lease of 5 s.
-    pub fn request(&mut self, request: lease::Request) {
+    pub fn queue_request(&mut self, request: lease::Request) {
         if let Some(key) = self.find(&request.to) {
             let peer = &mut self.peers[key];
             peer.request = Some(request);
@@ -190,7 +195,7 @@
     }
 
     /// Sends the answer to a request for confirmation to `to`, with a report that is due at once.
-    pub fn answer(&mut self, to: &Entry, answer: lease::Answer) {
+    pub fn queue_answer(&mut self, to: &Entry, answer: lease::Answer) {
         if let Some(key) = self.find(to) {
             let peer = &mut self.peers[key];
             peer.answer = Some(answer);
@@ -199,17 +204,17 @@
     }
 
     /// Sends a testimony with the next report to the entry that joined.
-    pub fn testify(&mut self, witness: JoinAck) {
-        if let Some(key) = self.find(&witness.to) {
-            self.peers[key].witness = Some(witness);
+    pub fn queue_join_ack(&mut self, join_ack: JoinAck) {
+        if let Some(key) = self.find(&join_ack.to) {
+            self.peers[key].join_ack = Some(join_ack);
         }
     }
 
     /// Returns the time at which [`due`](Self::due) and [`tick`](Self::tick) should be called again.
-    pub fn next(&self, now: Time) -> Time {
+    pub fn next_wakeup(&self, now: Time) -> Time {
         let idle = self.peers.values().filter(|peer| !peer.in_flight);
         let due = idle.map(|peer| peer.due).min();
-        let latest = now + SIGN_WAIT / 5;
+        let latest = now + DRAIN_NOTICE_WAIT / 5;
         due.map_or(latest, |due| due.clamp(now, latest))
     }
 
@@ -227,9 +232,9 @@
             let extra = if peer.own_zone {
                 Duration::ZERO
             } else {
-                self.plan.other_interval
+                self.plan.other_zone_interval
             };
-            if !peer.lost && now.since(peer.heard) >= SILENCE_LIMIT + extra {
+            if !peer.lost && now.since(peer.last_heard) >= SILENCE_LIMIT + extra {
                 peer.lost = true;
                 peer.missed = true;
                 self.events.push(Event::Lost(entry.clone()));
@@ -257,31 +262,31 @@
         let (mut all, mut heard) = (0, 0);
         for peer in members {
             all += 1;
-            heard += u32::from(now.since(peer.heard) < SILENCE_LIMIT);
+            heard += u32::from(now.since(peer.last_heard) < SILENCE_LIMIT);
         }
         all > 1 && heard == 0
     }
 
     /// Announces the retirement of a silent entry again in a second, because it could not be appended.
-    pub fn postpone(&mut self, now: Time, entry: &Entry) {
+    pub fn postpone_retirement(&mut self, now: Time, entry: &Entry) {
         if let Some(key) = self.find(entry) {
             let peer = &mut self.peers[key];
-            peer.retire = Some((now + REPORT_INTERVAL).max(peer.heard + RETIREMENT_LIMIT));
+            peer.retire = Some((now + REPORT_INTERVAL).max(peer.last_heard + RETIREMENT_LIMIT));
         }
     }
 
     /// Returns a peer that is worth asking for its state, given the offsets of this process.
     ///
     /// A peer is asked only if it has been ahead for some seconds, or at once if this process has nothing.
-    pub fn newer(&mut self, now: Time, have: After) -> Option<Key> {
+    pub fn choose_state_source(&mut self, now: Time, have: KnownState) -> Option<Key> {
         let ahead = |peer: &Peer| {
-            let hosts = !have.hosts && peer.through > 0;
-            peer.through > have.config || peer.offset > have.member || hosts
+            let hosts = !have.hosts && peer.config_offset > 0;
+            peer.config_offset > have.config || peer.membership_offset > have.member || hosts
         };
         let live = self.peers.iter().filter(|(_, peer)| !peer.lost);
         let best = live
             .filter(|(_, peer)| ahead(peer))
-            .max_by_key(|(key, peer)| (peer.through, peer.offset, *key));
+            .max_by_key(|(key, peer)| (peer.config_offset, peer.membership_offset, *key));
         let Some((key, _)) = best else {
             self.behind = None;
             return None;
@@ -291,7 +296,9 @@
             _ => now,
         };
         self.behind = Some((since, have));
-        let recent = self.asked.is_some_and(|asked| now < asked + ASK_INTERVAL);
+        let recent = self
+            .asked
+            .is_some_and(|asked| now < asked + STATE_REQUEST_INTERVAL);
         if recent || (have.config > 0 && have.member > 0 && have.hosts && now < since + LAG_LIMIT) {
             return None;
         }
@@ -318,7 +325,7 @@
     fn forget(&mut self, now: Time) -> bool {
         let before = self.peers.len();
         self.peers.retain(|_, peer| {
-            peer.member || peer.seed || peer.in_flight || now.since(peer.heard) < SILENCE_LIMIT
+            peer.member || peer.seed || peer.in_flight || now.since(peer.last_heard) < SILENCE_LIMIT
         });
         self.peers.len() < before
     }
@@ -343,10 +350,10 @@
         let peer = &mut self.peers[key];
         if peer.entry.as_ref() != Some(&member.entry) {
             peer.entry = Some(member.entry.clone());
-            peer.heard = now;
+            peer.last_heard = now;
         }
         if !peer.member && peer.retire.is_none() && !peer.lost {
-            peer.retire = Some(peer.heard.max(now) + RETIREMENT_LIMIT);
+            peer.retire = Some(peer.last_heard.max(now) + RETIREMENT_LIMIT);
         }
         peer.member = true;
         peer.zone = Some(zone.clone());
--- a/crates/peer/src/server/handler.rs
+++ b/crates/peer/src/server/handler.rs
@@ -1,8 +1,8 @@
 //! What the owner of the server does with the messages.
 
 use crate::message::{
-    After,
     Handover,
+    KnownState,
     Report,
     State, //
 };
@@ -23,7 +23,7 @@
     fn report(&self, report: Report) -> impl Future<Output = Result<Report, Refusal>>;
 
     /// Returns state that is newer than `after`; older parts are removed by the server.
-    fn state(&self, after: After) -> impl Future<Output = Result<State, Refusal>>;
+    fn state(&self, after: KnownState) -> impl Future<Output = Result<State, Refusal>>;
 
     /// Takes over the outcomes of moved keys, as a whole or not at all.
     fn hand_over(&self, handover: Handover) -> impl Future<Output = Result<(), Refusal>>;
--- a/crates/peer/src/server/session.rs
+++ b/crates/peer/src/server/session.rs
@@ -12,12 +12,12 @@
 use crate::{
     message::{
         self,
-        After, //
+        KnownState, //
     },
     wire::{
         self,
+        ConnectionState,
         HANDOVER_LIMIT,
-        Link,
         REPORT_LIMIT,
         STATE_LIMIT, //
     },
@@ -43,7 +43,7 @@
 /// One connection.
 pub(super) struct Session<H> {
     shared: Rc<Shared<H>>,
-    link: RefCell<Link>,
+    link: RefCell<ConnectionState>,
 }
 
 impl<H: Handler> Session<H> {
@@ -99,7 +99,7 @@
 
     async fn state(&self, request: &Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
         let after = parse_query(request.uri().query().unwrap_or_default())?;
-        let state = self.shared.handler.state(after).await?.newer(after);
+        let state = self.shared.handler.state(after).await?.newer_than(after);
         if state.is_empty() {
             return Ok(reply::success(StatusCode::NO_CONTENT, Vec::new()));
         }
@@ -161,11 +161,11 @@
     }
 }
 
-fn parse_query(query: &str) -> Result<After, wire::Error> {
+fn parse_query(query: &str) -> Result<KnownState, wire::Error> {
     // A process that does not speak of hosts has a list, or is too old to take one.
-    let mut after = After {
+    let mut after = KnownState {
         hosts: true,
-        ..After::default()
+        ..KnownState::default()
     };
     for (name, value) in query.split('&').filter_map(|part| part.split_once('=')) {
         let offset = match name {
--- a/crates/peer/src/wire/link.rs
+++ b/crates/peer/src/wire/connection_state.rs
@@ -15,7 +15,7 @@
 ///
 /// The first report in each direction introduces its sender; later ones leave it out.
 #[derive(Clone, Debug, Default)]
-pub struct Link {
+pub struct ConnectionState {
     /// What this end has sent.
     pub(super) own: Option<Introduction>,
     /// What this end has received.
@@ -48,7 +48,7 @@
     t: u64,
 }
 
-impl Link {
+impl ConnectionState {
     /// Returns the time of the introduction, and the introduction itself if the peer doesn't have it yet.
     pub(super) fn introduce(
         &mut self,
--- a/crates/peer/src/wire/handover.rs
+++ b/crates/peer/src/wire/handover.rs
@@ -1,7 +1,7 @@
 //! Serialised handover of outcomes.
 
 use super::{
-    Error, HEADER_LIMIT, ITEM_LIMIT, VERSION,
+    Error, HANDOVER_ITEM_LIMIT, HEADER_LIMIT, VERSION,
     blob::Blob,
     codec::check_version,
     error::{
@@ -11,7 +11,7 @@
 };
 use crate::message::{
     self,
-    Stored, //
+    StoredAnswer, //
 };
 use bytes::Bytes;
 use sassafrascrank_base::prelude::Time;
@@ -84,8 +84,8 @@
     }
 }
 
-impl From<&table::Item<Stored>> for Item {
-    fn from(item: &table::Item<Stored>) -> Self {
+impl From<&table::Item<StoredAnswer>> for Item {
+    fn from(item: &table::Item<StoredAnswer>) -> Self {
         let bytes = |bits: u128| Blob(Bytes::copy_from_slice(&bits.to_be_bytes()));
         Self {
             k: bytes(item.id.bits()),
@@ -100,8 +100,8 @@
     }
 }
 
-impl From<&Stored> for Answer {
-    fn from(answer: &Stored) -> Self {
+impl From<&StoredAnswer> for Answer {
+    fn from(answer: &StoredAnswer) -> Self {
         let headers = answer.headers.iter();
         Self {
             s: answer.status,
@@ -118,7 +118,7 @@
 
     fn try_from(wire: Handover) -> Result<Self, Error> {
         check_version(wire.v)?;
-        check_count("items", wire.items.len(), ITEM_LIMIT)?;
+        check_count("items", wire.items.len(), HANDOVER_ITEM_LIMIT)?;
         let items = wire.items.into_iter().map(TryInto::try_into);
         Ok(Self {
             from: check_entry("from", &wire.from)?,
@@ -130,7 +130,7 @@
     }
 }
 
-impl TryFrom<Item> for table::Item<Stored> {
+impl TryFrom<Item> for table::Item<StoredAnswer> {
     type Error = Error;
 
     fn try_from(wire: Item) -> Result<Self, Error> {
@@ -151,7 +151,7 @@
     }
 }
 
-impl TryFrom<Answer> for Stored {
+impl TryFrom<Answer> for StoredAnswer {
     type Error = Error;
 
     fn try_from(wire: Answer) -> Result<Self, Error> {
--- a/crates/peer/src/wire/limit.rs
+++ b/crates/peer/src/wire/limit.rs
@@ -14,14 +14,14 @@
 /// Most pools in one report; the target is 199.
 pub const DEMAND_LIMIT: usize = 256;
 /// Most drain signs in one report.
-pub const SIGN_LIMIT: usize = 128;
+pub const DRAIN_NOTICE_LIMIT: usize = 128;
 /// Most subjects or writers in one state.
 pub const SUBJECT_LIMIT: usize = 65_536;
 /// Most availability zones in one membership view.
 pub const ZONE_LIMIT: usize = 64;
 /// Most members of one availability zone.
-pub const ADDRESS_LIMIT: usize = 256;
+pub const ZONE_MEMBER_LIMIT: usize = 256;
 /// Most keyed requests in one handover, the bound of the table.
-pub const ITEM_LIMIT: usize = 131_072;
+pub const HANDOVER_ITEM_LIMIT: usize = 131_072;
 /// Most headers of one stored answer.
 pub const HEADER_LIMIT: usize = 128;
--- a/crates/peer/src/wire/member.rs
+++ b/crates/peer/src/wire/member.rs
@@ -1,9 +1,9 @@
 //! Serialised membership view.
 
 use super::{
-    ADDRESS_LIMIT,
     Error,
     ZONE_LIMIT,
+    ZONE_MEMBER_LIMIT,
     error::{
         check_count,
         parse_address,
@@ -111,7 +111,7 @@
     type Error = Error;
 
     fn try_from(wire: Zone) -> Result<Self, Error> {
-        check_count("zones.members", wire.members.len(), ADDRESS_LIMIT)?;
+        check_count("zones.members", wire.members.len(), ZONE_MEMBER_LIMIT)?;
         let members = wire.members.into_iter().map(TryInto::try_into);
         Ok(Self {
             revision: wire.revision,
--- a/crates/peer/src/wire/mod.rs
+++ b/crates/peer/src/wire/mod.rs
@@ -2,12 +2,12 @@
 
 mod blob;
 mod codec;
+mod connection_state;
 mod error;
 mod handover;
 mod host;
 mod image;
 mod limit;
-mod link;
 mod member;
 mod report;
 mod state;
@@ -16,22 +16,22 @@
     decode,
     encode, //
 };
+pub use connection_state::ConnectionState;
 pub use error::Error;
 pub use handover::Handover;
 pub use limit::{
-    ADDRESS_LIMIT,
     DEMAND_LIMIT,
+    DRAIN_NOTICE_LIMIT,
+    HANDOVER_ITEM_LIMIT,
     HANDOVER_LIMIT,
     HEADER_LIMIT,
-    ITEM_LIMIT,
     REPORT_LIMIT,
-    SIGN_LIMIT,
     STATE_LIMIT,
     SUBJECT_LIMIT,
     VERSION,
     ZONE_LIMIT, //
+    ZONE_MEMBER_LIMIT,
 };
-pub use link::Link;
 pub use member::View;
 pub use report::Report;
 pub use state::State;
--- a/crates/peer/src/wire/report.rs
+++ b/crates/peer/src/wire/report.rs
@@ -1,18 +1,18 @@
 //! Serialised report. Field names have one letter, since each report carries them.
 
 use super::{
+    ConnectionState,
     DEMAND_LIMIT,
+    DRAIN_NOTICE_LIMIT,
     Error,
-    Link,
-    SIGN_LIMIT,
     VERSION,
     blob::Blob,
     codec::check_version,
+    connection_state::Sender, //
     error::{
         check_count,
         parse_name, //
     },
-    link::Sender, //
 };
 use crate::message;
 use sassafrascrank_base::prelude::Time;
@@ -43,7 +43,7 @@
     m: u64,
     /// Offset of the last record that changed the sender's zone.
     r: u64,
-    /// Tag in big-endian order, level of slots and level of spill of each pool, 6 bytes one after the other.
+    /// Pool hash in big-endian order, level of slots and level of spill of each pool, 6 bytes one after the other.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     d: Option<Blob>,
     /// Host and incarnation of each upstream that is leaving.
@@ -63,7 +63,7 @@
     j: bool,
     /// Testimony.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    w: Option<Witness>,
+    w: Option<JoinAck>,
 }
 
 /// Request for confirmation, from the sender.
@@ -97,7 +97,7 @@
 /// Testimony of the sender.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
-struct Witness {
+struct JoinAck {
     /// Host and incarnation that joined.
     e: (String, u64),
     /// Fence in microseconds.
@@ -106,25 +106,25 @@
 
 impl Report {
     /// Makes the serialised report for the connection `link`.
-    pub fn new(report: &message::Report, link: &mut Link) -> Self {
+    pub fn new(report: &message::Report, link: &mut ConnectionState) -> Self {
         let now = report.now.as_millis();
         let (time, sender) = link.introduce(&report.sender, now);
         let demands: Vec<u8> = report.demands.iter().flat_map(encode_demand).collect();
-        let signs = report.signs.iter();
+        let drain_notices = report.drain_notices.iter();
         let revision = |value: u64| (value != report.revision).then_some(value);
         Self {
             v: VERSION,
             f: sender,
             n: report.sequence,
             t: now.wrapping_sub(time).cast_signed(),
-            c: report.through,
-            m: report.offset,
+            c: report.config_offset,
+            m: report.membership_offset,
             r: report.revision,
             d: (!demands.is_empty()).then(|| Blob(demands.into())),
-            s: signs
-                .map(|sign| (sign.host.to_string(), sign.incarnation))
+            s: drain_notices
+                .map(|notice| (notice.host.to_string(), notice.incarnation))
                 .collect(),
-            x: report.reset,
+            x: report.resend_demand,
             l: report.request.as_ref().map(|request| Request {
                 s: request.start.as_micros(),
                 e: (!link.reaches(&request.to)).then(|| encode_entry(&request.to)),
@@ -136,9 +136,9 @@
                 d: !answer.agrees,
             }),
             j: report.joining,
-            w: report.witness.as_ref().map(|witness| Witness {
-                e: encode_entry(&witness.to),
-                f: witness.fence.as_micros(),
+            w: report.join_ack.as_ref().map(|join_ack| JoinAck {
+                e: encode_entry(&join_ack.to),
+                f: join_ack.fence.as_micros(),
             }),
         }
     }
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Names field, value and remedy of the first value that doesn't fit.
-    pub fn check(self, link: &mut Link) -> Result<message::Report, Error> {
+    pub fn check(self, link: &mut ConnectionState) -> Result<message::Report, Error> {
         check_version(self.v)?;
         if let Some(sender) = self.f {
             link.peer = Some(sender.try_into()?);
@@ -160,27 +160,32 @@
         let from = &peer.sender.entry;
         let revision = self.r;
         let request = self.l.map(|request| request.check(from, revision, link));
-        let witness = self.w.map(|witness| witness.check(from));
+        let join_ack = self.w.map(|join_ack| join_ack.check(from));
         Ok(message::Report {
             sequence: self.n,
             now: Time::from_millis(peer.time.saturating_add_signed(self.t)),
-            through: self.c,
-            offset: self.m,
+            config_offset: self.c,
+            membership_offset: self.m,
             revision,
-            reset: self.x,
+            resend_demand: self.x,
             demands: check_demands(self.d.as_ref())?,
-            signs: check_signs(&self.s)?,
+            drain_notices: check_drain_notices(&self.s)?,
             request: request.transpose()?,
             answer: self.k.map(|answer| answer.check(from, revision)),
             joining: self.j,
-            witness: witness.transpose()?,
+            join_ack: join_ack.transpose()?,
             sender: peer.sender,
         })
     }
 }
 
 impl Request {
-    fn check(self, from: &Entry, revision: u64, link: &Link) -> Result<lease::Request, Error> {
+    fn check(
+        self,
+        from: &Entry,
+        revision: u64,
+        link: &ConnectionState,
+    ) -> Result<lease::Request, Error> {
         let to = match &self.e {
             Some(entry) => check_entry("l.e", entry)?,
             None => link.own_entry().cloned().ok_or_else(|| {
@@ -208,7 +213,7 @@
     }
 }
 
-impl Witness {
+impl JoinAck {
     fn check(self, from: &Entry) -> Result<lease::JoinAck, Error> {
         Ok(lease::JoinAck {
             from: from.clone(),
@@ -231,8 +236,8 @@
 
 fn encode_demand(demand: &message::Demand) -> [u8; DEMAND_BYTES] {
     let [a, b, c, d] = demand.pool.0.to_be_bytes();
-    let slots = message::Level::of(demand.slots);
-    let spill = message::Level::of(demand.spill);
+    let slots = message::Level::of(demand.millislots);
+    let spill = message::Level::of(demand.spill_millislots);
     [a, b, c, d, slots.0, spill.0]
 }
 
@@ -255,21 +260,23 @@
         return Err(Error::new("d.spill", spill, remedy));
     }
     Ok(message::Demand {
-        pool: message::Tag(u32::from_be_bytes([a, b, c, d])),
-        slots: message::Level(slots).value(),
-        spill: message::Level(spill).value(),
+        pool: message::PoolHash(u32::from_be_bytes([a, b, c, d])),
+        millislots: message::Level(slots).value(),
+        spill_millislots: message::Level(spill).value(),
     })
 }
 
-fn check_signs(signs: &[(String, u64)]) -> Result<Vec<message::Sign>, Error> {
-    check_count("s", signs.len(), SIGN_LIMIT)?;
-    let signs = signs.iter().map(|(host, incarnation)| {
-        Ok(message::Sign {
+fn check_drain_notices(
+    drain_notices: &[(String, u64)],
+) -> Result<Vec<message::DrainNotice>, Error> {
+    check_count("s", drain_notices.len(), DRAIN_NOTICE_LIMIT)?;
+    let drain_notices = drain_notices.iter().map(|(host, incarnation)| {
+        Ok(message::DrainNotice {
             host: parse_name("s", host)?,
             incarnation: *incarnation,
         })
     });
-    signs.collect()
+    drain_notices.collect()
 }
 
 const fn is_false(value: &bool) -> bool {
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -32,12 +32,12 @@
 };
 use sassafrascrank_peer::message::{
     Demand,
+    DrainNotice,
     Handover,
+    PoolHash, //
     Report,
     Sender,
-    Sign,
-    Stored,
-    Tag, //
+    StoredAnswer,
 };
 
 pub(crate) fn name(text: &str) -> Name {
@@ -66,25 +66,25 @@
         sender: sender(index, "suva"),
         sequence: 7,
         now: Time::from_millis(1_800_000_000_000),
-        through: 1_000,
-        offset: 40,
+        config_offset: 1_000,
+        membership_offset: 40,
         revision: 38,
-        reset: false,
+        resend_demand: false,
         demands: Vec::new(),
-        signs: Vec::new(),
+        drain_notices: Vec::new(),
         request: None,
         answer: None,
         joining: false,
-        witness: None,
+        join_ack: None,
     }
 }
 
 /// A report with every field.
 pub(crate) fn full(index: usize) -> Report {
     Report {
-        reset: true,
+        resend_demand: true,
         demands: vec![demand("quoting", 8_000, 500), demand("roofing", 0, 0)],
-        signs: vec![Sign {
+        drain_notices: vec![DrainNotice {
             host: name("runner-3"),
             incarnation: 9,
         }],
@@ -101,7 +101,7 @@
             agrees: false,
         }),
         joining: true,
-        witness: Some(lease::JoinAck {
+        join_ack: Some(lease::JoinAck {
             from: entry(index),
             to: entry(index + 1),
             fence: Time::from_micros(1_800_000_000_000_789),
@@ -110,9 +110,13 @@
     }
 }
 
-pub(crate) fn demand(pool: &str, slots: u64, spill: u64) -> Demand {
-    let pool = Tag::of(&name(pool));
-    Demand { pool, slots, spill }
+pub(crate) fn demand(pool: &str, millislots: u64, spill_millislots: u64) -> Demand {
+    let pool = PoolHash::of(&name(pool));
+    Demand {
+        pool,
+        millislots,
+        spill_millislots,
+    }
 }
 
 /// A view of `count` entries, divided between the zones in turn.
@@ -166,7 +170,7 @@
     let items = bodies.iter().enumerate().map(|(index, body)| Item {
         id: Id::from_bits(index as u128 + 1),
         fingerprint: Fingerprint(u128::MAX - index as u128),
-        state: RequestState::Answered(Stored {
+        state: RequestState::Answered(StoredAnswer {
             status: 201,
             headers: vec![("content-type".to_owned(), "text/plain".into())],
             body: body.map(|size| vec![0xa5; size].into()),
--- a/crates/peer/tests/common/world.rs
+++ b/crates/peer/tests/common/world.rs
@@ -19,9 +19,9 @@
 use sassafrascrank_peer::{
     message::{
         Demand,
+        DrainNotice,
+        PoolHash, //
         Report,
-        Sign,
-        Tag, //
     },
     roster::{
         Event,
@@ -31,7 +31,7 @@
     },
     wire::{
         self,
-        Link,
+        ConnectionState,
         REPORT_LIMIT, //
     },
 };
@@ -57,7 +57,7 @@
     pub(crate) roster: Roster,
     pub(crate) status: Status,
     pub(crate) bytes: u64,
-    pub(crate) signs: BTreeMap<Sign, Time>,
+    pub(crate) drain_notices: BTreeMap<DrainNotice, Time>,
     pub(crate) live: bool,
     /// When each peer last answered a request for confirmation, and the start of that request.
     pub(crate) confirmed: BTreeMap<Entry, (Time, Time)>,
@@ -74,7 +74,7 @@
     /// Entries by the addresses for callers and for peers.
     addresses: BTreeMap<SocketAddr, usize>,
     /// The two ends of the connection from one process to another.
-    links: BTreeMap<(usize, usize), (Link, Link)>,
+    links: BTreeMap<(usize, usize), (ConnectionState, ConnectionState)>,
 }
 
 impl World {
@@ -86,12 +86,12 @@
         }
         let node = |index: usize| {
             let mut roster = Roster::new(now, sender(index, zones[index % zones.len()]), &[]);
-            roster.follow(now, fold.view(), |member| member.address);
+            roster.update_members(now, fold.view(), |member| member.address);
             Node {
                 roster,
                 status: Status::default(),
                 bytes: 0,
-                signs: BTreeMap::new(),
+                drain_notices: BTreeMap::new(),
                 live: true,
                 confirmed: BTreeMap::new(),
             }
@@ -148,7 +148,7 @@
         let view = self.fold.view();
         let zone = view.zone_of(&me).and_then(|zone| view.zone(zone)).unwrap();
         for member in &zone.members {
-            node.roster.request(lease::Request {
+            node.roster.queue_request(lease::Request {
                 from: me.clone(),
                 to: member.entry.clone(),
                 revision: node.status.revision,
@@ -168,7 +168,7 @@
         let node = &mut self.nodes[from];
         let report = node.roster.compose(now, key, &node.status).unwrap();
         let Some(to) = to else {
-            node.roster.fail(now, key);
+            node.roster.record_failure(now, key);
             self.links.remove(&(from, index));
             return;
         };
@@ -177,13 +177,13 @@
         let mut bytes = request_head(body).len() + body;
         let node = &mut self.nodes[to];
         node.take(now, &report);
-        let back = node.roster.hear(now, &report).unwrap();
+        let back = node.roster.receive(now, &report).unwrap();
         let answer = node.roster.compose(now, back, &node.status).unwrap();
         let (answer, body) = carry(&answer, far, near);
         bytes += answer_head(body).len() + body;
         let node = &mut self.nodes[from];
         node.take(now, &answer);
-        node.roster.succeed(now, key, &answer);
+        node.roster.record_success(now, key, &answer);
         for index in [from, to] {
             self.nodes[index].bytes += bytes as u64;
         }
@@ -191,7 +191,11 @@
 }
 
 /// Encodes and decodes a report, and returns its size.
-fn carry(report: &Report, near: &mut Link, far: &mut Link) -> (Report, usize) {
+fn carry(
+    report: &Report,
+    near: &mut ConnectionState,
+    far: &mut ConnectionState,
+) -> (Report, usize) {
     let body = wire::encode(&wire::Report::new(report, near), REPORT_LIMIT).unwrap();
     let wire: wire::Report = wire::decode(&body, REPORT_LIMIT).unwrap();
     (wire.check(far).unwrap(), body.len())
@@ -199,8 +203,8 @@
 
 impl Node {
     fn take(&mut self, now: Time, report: &Report) {
-        for sign in &report.signs {
-            self.signs.entry(sign.clone()).or_insert(now);
+        for notice in &report.drain_notices {
+            self.drain_notices.entry(notice.clone()).or_insert(now);
         }
         let from = &report.sender.entry;
         if let Some(request) = &report.request {
@@ -210,7 +214,7 @@
                 start: request.start,
                 agrees: true,
             };
-            self.roster.answer(from, answer);
+            self.roster.queue_answer(from, answer);
         }
         if let Some(answer) = &report.answer {
             self.confirmed.insert(from.clone(), (now, answer.start));
@@ -246,20 +250,24 @@
 }
 
 /// Tags of `count` pools.
-pub(crate) fn pools(count: usize) -> Vec<Tag> {
-    let tag = |pool| Tag::of(&name(&format!("pool-{pool}")));
+pub(crate) fn pools(count: usize) -> Vec<PoolHash> {
+    let tag = |pool| PoolHash::of(&name(&format!("pool-{pool}")));
     (0..count).map(tag).collect()
 }
 
 /// Random demand for the pools; a fifth of them are busy and the others nearly idle.
-pub(crate) fn demands(random: &mut Random, pools: &[Tag]) -> Vec<Demand> {
-    let demand = |pool: &Tag| {
+pub(crate) fn demands(random: &mut Random, pools: &[PoolHash]) -> Vec<Demand> {
+    let demand = |pool: &PoolHash| {
         let busy = random.below(5) == 0;
-        let slots = 125 + random.below(if busy { 40_000 } else { 400 });
+        let millislots = 125 + random.below(if busy { 40_000 } else { 400 });
         Demand {
             pool: *pool,
-            slots,
-            spill: if random.below(4) == 0 { slots / 2 } else { 0 },
+            millislots,
+            spill_millislots: if random.below(4) == 0 {
+                millislots / 2
+            } else {
+                0
+            },
         }
     };
     pools.iter().map(demand).collect()
--- a/crates/peer/tests/format.rs
+++ b/crates/peer/tests/format.rs
@@ -10,12 +10,12 @@
     message::{
         self,
         Host,
-        Stored, //
+        StoredAnswer, //
     },
     wire::{
         self,
+        ConnectionState,
         HANDOVER_LIMIT,
-        Link,
         REPORT_LIMIT,
         STATE_LIMIT, //
     },
@@ -40,7 +40,7 @@
     let mut handover = common::handover(&[None, None, None]);
     handover.items[0].state = RequestState::Lost;
     handover.items[1].state = RequestState::Dropped;
-    handover.items[2].state = RequestState::Answered(Stored {
+    handover.items[2].state = RequestState::Answered(StoredAnswer {
         status: 201,
         headers: vec![("x-a".to_owned(), "value".into())],
         body: Some("body".into()),
@@ -55,7 +55,7 @@
     let mut add = |case: &str, body: Vec<u8>| {
         writeln!(lines, "{case}: {}", body.escape_ascii()).unwrap();
     };
-    let mut link = Link::default();
+    let mut link = ConnectionState::default();
     for case in ["first report", "later report"] {
         let report = wire::Report::new(&common::full(0), &mut link);
         add(case, wire::encode(&report, REPORT_LIMIT).unwrap());
--- a/crates/peer/tests/loopback.rs
+++ b/crates/peer/tests/loopback.rs
@@ -16,8 +16,8 @@
         Error, //
     },
     message::{
-        After,
         Handover,
+        KnownState,
         Report,
         State, //
     },
@@ -29,7 +29,7 @@
     },
     wire::{
         self,
-        Link,
+        ConnectionState,
         REPORT_LIMIT, //
     },
 };
@@ -62,7 +62,7 @@
         Ok(common::plain(1))
     }
 
-    async fn state(&self, _: After) -> Result<State, Refusal> {
+    async fn state(&self, _: KnownState) -> Result<State, Refusal> {
         Ok(State {
             config: Some(common::image(100)),
             member: Some(common::view(3, &["suva"])),
@@ -169,7 +169,7 @@
         let mut lines = String::new();
         for (config, member) in [(0, 0), (99, 3), (100, 2), (100, 3), (101, 9)] {
             let state = client
-                .state(After {
+                .state(KnownState {
                     config,
                     member,
                     hosts: true,
@@ -299,7 +299,7 @@
             buffer
         };
         let (_, request) = tokio::join!(client.report(&report), accept);
-        let link = &mut Link::default();
+        let link = &mut ConnectionState::default();
         let body = wire::encode(&wire::Report::new(&report, link), REPORT_LIMIT).unwrap();
         let mut expected = common::world::request_head(body.len()).into_bytes();
         expected.extend(body);
@@ -310,7 +310,7 @@
         stream.write_all(&request).await.unwrap();
         let mut answer = vec![0; 4_096];
         let size = stream.read(&mut answer).await.unwrap();
-        let report = wire::Report::new(&common::plain(1), &mut Link::default());
+        let report = wire::Report::new(&common::plain(1), &mut ConnectionState::default());
         let body = wire::encode(&report, REPORT_LIMIT).unwrap();
         let mut expected = common::world::answer_head(body.len()).into_bytes();
         expected.extend(body);
--- a/crates/peer/tests/roster.rs
+++ b/crates/peer/tests/roster.rs
@@ -19,22 +19,22 @@
 use sassafrascrank_claim::member::Fold;
 use sassafrascrank_peer::{
     message::{
-        After,
         Demand,
+        DrainNotice, //
+        KnownState,
         Report,
-        Sign, //
     },
     roster::{
-        ASK_INTERVAL,
         Event,
         LAG_LIMIT,
         PEER_LIMIT,
         Plan,
         REPORT_INTERVAL,
         Roster,
+        STATE_REQUEST_INTERVAL,
         Status, //
     },
-    wire::SIGN_LIMIT, //
+    wire::DRAIN_NOTICE_LIMIT, //
 };
 
 const START: Time = Time::from_millis(1_800_000_000_000);
@@ -49,15 +49,15 @@
 fn roster(count: usize) -> Roster {
     let mut roster = Roster::new(START, common::sender(0, "suva"), &[]);
     let view = common::view(count, &["suva"]);
-    roster.follow(START, &view, |member| member.address);
+    roster.update_members(START, &view, |member| member.address);
     roster
 }
 
 /// A report of another entry with the given offsets.
-fn report(index: usize, through: u64, offset: u64) -> Report {
+fn report(index: usize, config_offset: u64, membership_offset: u64) -> Report {
     Report {
-        through,
-        offset,
+        config_offset,
+        membership_offset,
         ..common::plain(index)
     }
 }
@@ -144,7 +144,7 @@
         for event in roster.tick(at(millis)) {
             writeln!(lines, "{millis:4} ms: {event:?}").unwrap();
             if matches!(event, Event::Retire(_)) && !postponed {
-                roster.postpone(at(millis), &common::entry(1));
+                roster.postpone_retirement(at(millis), &common::entry(1));
                 postponed = true;
             }
         }
@@ -159,7 +159,7 @@
     for index in 0..16 {
         let mut roster = Roster::new(START, common::sender(index, "suva"), &[]);
         let view = common::view(16, &["suva"]);
-        roster.follow(START, &view, |member| member.address);
+        roster.update_members(START, &view, |member| member.address);
         let first = (0..1_000).find(|millis| !roster.due(at(*millis)).is_empty());
         moments.insert(first.unwrap() / 50);
     }
@@ -188,43 +188,48 @@
 #[test]
 fn only_newer_state_is_asked_for() {
     let mut roster = roster(4);
-    let have = |config, member| After {
+    let have = |config, member| KnownState {
         config,
         member,
         hosts: true,
     };
     let mut now = at(100);
-    for (index, through, offset) in [(1, 50, 9), (2, 70, 9), (3, 60, 8)] {
-        roster.hear(now, &report(index, through, offset)).unwrap();
+    for (index, config_offset, membership_offset) in [(1, 50, 9), (2, 70, 9), (3, 60, 8)] {
+        roster
+            .receive(now, &report(index, config_offset, membership_offset))
+            .unwrap();
     }
     for (config, member) in [(70, 9), (71, 9), (70, 10), (u64::MAX, u64::MAX)] {
         assert_eq!(
-            roster.newer(now, have(config, member)),
+            roster.choose_state_source(now, have(config, member)),
             None,
             "{config} {member}"
         );
     }
     // A process that has nothing asks at once, and the one that is furthest ahead.
-    let key = roster.newer(now, have(0, 0));
+    let key = roster.choose_state_source(now, have(0, 0));
     assert_eq!(
         roster.peer(key.unwrap()).unwrap().entry(),
         Some(&common::entry(2))
     );
-    assert_eq!(roster.newer(now + SECOND, have(0, 0)), None);
-    now = now + ASK_INTERVAL;
+    assert_eq!(roster.choose_state_source(now + SECOND, have(0, 0)), None);
+    now = now + STATE_REQUEST_INTERVAL;
     for index in 1..4 {
         // A delayed report with lower offsets changes nothing.
-        roster.hear(now, &report(index, 1, 1)).unwrap();
+        roster.receive(now, &report(index, 1, 1)).unwrap();
     }
-    assert_eq!(roster.newer(now, have(69, 9)), None);
-    assert_eq!(roster.newer(now + LAG_LIMIT / 2, have(69, 9)), None);
-    let key = roster.newer(now + LAG_LIMIT, have(69, 9));
+    assert_eq!(roster.choose_state_source(now, have(69, 9)), None);
+    assert_eq!(
+        roster.choose_state_source(now + LAG_LIMIT / 2, have(69, 9)),
+        None
+    );
+    let key = roster.choose_state_source(now + LAG_LIMIT, have(69, 9));
     assert_eq!(
         roster.peer(key.unwrap()).unwrap().entry(),
         Some(&common::entry(2))
     );
     assert_eq!(
-        roster.newer(now + LAG_LIMIT + ASK_INTERVAL, have(70, 9)),
+        roster.choose_state_source(now + LAG_LIMIT + STATE_REQUEST_INTERVAL, have(70, 9)),
         None
     );
 }
@@ -251,30 +256,34 @@
 fn signs_are_repeated_for_ten_seconds_and_bounded() {
     let mut roster = roster(2);
     let key = roster.find(&common::entry(1)).unwrap();
-    let sign = |index: usize| Sign {
+    let notice = |index: usize| DrainNotice {
         host: common::name(&format!("runner-{index}")),
         incarnation: 1,
     };
-    roster.notice(at(0), sign(0));
+    roster.announce_drain(at(0), notice(0));
     let mut count = |now| {
         roster
             .compose(now, key, &Status::default())
             .unwrap()
-            .signs
+            .drain_notices
             .len()
     };
     assert_eq!(
         [count(at(0)), count(at(9_999)), count(at(10_000))],
         [1, 1, 0]
     );
-    for index in 0..SIGN_LIMIT + 5 {
-        roster.notice(at(20_000), sign(index));
-        roster.notice(at(20_000), sign(index));
+    for index in 0..DRAIN_NOTICE_LIMIT + 5 {
+        roster.announce_drain(at(20_000), notice(index));
+        roster.announce_drain(at(20_000), notice(index));
     }
     let report = roster.compose(at(20_000), key, &Status::default()).unwrap();
-    assert_eq!(report.signs.len(), SIGN_LIMIT);
-    assert_eq!(report.signs[0], sign(5), "the oldest signs go first");
-    assert_eq!(roster.count().dropped_signs, 5);
+    assert_eq!(report.drain_notices.len(), DRAIN_NOTICE_LIMIT);
+    assert_eq!(
+        report.drain_notices[0],
+        notice(5),
+        "the oldest drain notices go first"
+    );
+    assert_eq!(roster.count().dropped_drain_notices, 5);
 }
 
 /// Guards against demand that a peer never learns, also after lost exchanges and a restart of the demand.
@@ -342,11 +351,11 @@
     let [key] = roster.due(at(0))[..] else {
         panic!("one seed is due");
     };
-    roster.succeed(at(10), key, &report(1, 5, 5));
+    roster.record_success(at(10), key, &report(1, 5, 5));
     assert_eq!(roster.find(&common::entry(1)), Some(key));
     let mut fold = Fold::default();
     join(&mut fold, 1, "suva");
-    roster.follow(at(20), fold.view(), |member| member.address);
+    roster.update_members(at(20), fold.view(), |member| member.address);
     assert_eq!(roster.peers().count(), 1);
     // Another incarnation answers at the address of the seed.
     let [key] = roster.due(at(2_000))[..] else {
@@ -354,11 +363,11 @@
     };
     let mut restarted = report(1, 5, 5);
     restarted.sender.entry.incarnation += 1;
-    roster.succeed(at(2_010), key, &restarted);
+    roster.record_success(at(2_010), key, &restarted);
     let mut lines = String::new();
     for millis in (2_100..12_000).step_by(100) {
         if let Some(key) = roster.find(&restarted.sender.entry) {
-            roster.hear(at(millis), &restarted).unwrap();
+            roster.receive(at(millis), &restarted).unwrap();
             assert!(!roster.peer(key).unwrap().is_lost());
         }
         for event in roster.tick(at(millis)) {
@@ -374,8 +383,8 @@
     let mut roster = roster(PEER_LIMIT + 10);
     assert_eq!(roster.peers().count(), PEER_LIMIT);
     assert_eq!(roster.count().ignored_peers, 9);
-    assert_eq!(roster.hear(at(0), &common::plain(0)), None);
-    assert_eq!(roster.hear(at(0), &report(PEER_LIMIT + 50, 1, 1)), None);
+    assert_eq!(roster.receive(at(0), &common::plain(0)), None);
+    assert_eq!(roster.receive(at(0), &report(PEER_LIMIT + 50, 1, 1)), None);
 }
 
 /// Guards against a change of the plan that goes unnoticed.
--- a/crates/peer/tests/traffic.rs
+++ b/crates/peer/tests/traffic.rs
@@ -16,10 +16,10 @@
 use sassafrascrank_peer::{
     message::{
         Demand,
-        Sign, //
+        DrainNotice, //
     },
     roster::{
-        PLATFORM_BYTES,
+        PLATFORM_BYTES_PER_SECOND,
         REPORT_INTERVAL, //
     },
 };
@@ -46,8 +46,8 @@
     for second in 0..SECONDS {
         for node in &mut world.nodes {
             node.roster.publish(demands(&mut random, &pools));
-            node.status.through = 1_000_000 + second;
-            node.status.offset = 100_000;
+            node.status.config_offset = 1_000_000 + second;
+            node.status.membership_offset = 100_000;
             node.status.revision = 99_000;
         }
         if outage && second % CONFIRMATION == 0 {
@@ -68,7 +68,7 @@
         for pools in [5, 50, 199] {
             let bytes = measure(entries, zones, pools, false);
             assert!(
-                bytes <= BOUND - PLATFORM_BYTES,
+                bytes <= BOUND - PLATFORM_BYTES_PER_SECOND,
                 "{entries} entries, {pools} pools, seed {SEED}: {bytes}"
             );
             writeln!(table, "{entries:7} {pools:5} {bytes:7}").unwrap();
@@ -102,11 +102,11 @@
         for node in &mut world.nodes {
             let noise = pools.iter().map(|pool| {
                 let high = *pool == burst && second >= 110;
-                let slots = (900 + random.below(200)) * if high { 10 } else { 1 };
+                let millislots = (900 + random.below(200)) * if high { 10 } else { 1 };
                 Demand {
                     pool: *pool,
-                    slots,
-                    spill: 0,
+                    millislots,
+                    spill_millislots: 0,
                 }
             });
             node.roster.publish(noise);
@@ -116,7 +116,7 @@
             let node = &world.nodes[*index];
             let peer = node.roster.find(&common::entry(0)).unwrap();
             let mut demands = node.roster.peer(peer).unwrap().demands();
-            demands.any(|demand| demand.pool == burst && demand.slots > 5_000)
+            demands.any(|demand| demand.pool == burst && demand.millislots > 5_000)
         };
         if second >= 110 {
             arrived.push(
@@ -139,24 +139,31 @@
 fn drain_signs_arrive_within_three_seconds() {
     let mut table = String::from("entries latest_ms bytes\n");
     for (entries, zones) in SIZES {
-        let run = |signs: bool| {
+        let run = |drain_notices: bool| {
             let mut world = World::new(entries, zones);
             world.run(Duration::from_secs(20));
-            let sign = Sign {
+            let notice = DrainNotice {
                 host: common::name("runner-77"),
                 incarnation: 3,
             };
             let start = world.now;
             // All entries of the first zone read the same host list.
-            for index in (0..entries).step_by(zones.len()).filter(|_| signs) {
-                world.nodes[index].roster.notice(start, sign.clone());
-                world.nodes[index].signs.insert(sign.clone(), start);
+            for index in (0..entries).step_by(zones.len()).filter(|_| drain_notices) {
+                world.nodes[index]
+                    .roster
+                    .announce_drain(start, notice.clone());
+                world.nodes[index]
+                    .drain_notices
+                    .insert(notice.clone(), start);
             }
             world.run(Duration::from_secs(30));
-            let late = world.nodes.iter().map(|node| match node.signs.get(&sign) {
-                Some(heard) => heard.since(start),
-                None => Duration::MAX,
-            });
+            let late = world
+                .nodes
+                .iter()
+                .map(|node| match node.drain_notices.get(&notice) {
+                    Some(heard) => heard.since(start),
+                    None => Duration::MAX,
+                });
             let latest = late.max().unwrap();
             (
                 latest,
--- a/crates/peer/tests/wire.rs
+++ b/crates/peer/tests/wire.rs
@@ -15,17 +15,17 @@
     message::{
         self,
         Demand,
+        DrainNotice,
         Level,
+        PoolHash, //
         Report,
-        Sign,
-        Stored,
-        Tag, //
+        StoredAnswer,
     },
     wire::{
         self,
+        ConnectionState,
         Error,
         HANDOVER_LIMIT,
-        Link,
         REPORT_LIMIT,
         STATE_LIMIT, //
     },
@@ -48,7 +48,7 @@
 
 fn read(body: &[u8]) -> Result<Report, Error> {
     let report: wire::Report = wire::decode(body, REPORT_LIMIT)?;
-    report.check(&mut Link::default())
+    report.check(&mut ConnectionState::default())
 }
 
 /// Reads the report by hand with one field changed or added.
@@ -81,9 +81,9 @@
 
 fn levels() -> impl Strategy<Value = Demand> {
     (any::<u32>(), any::<u8>(), any::<u8>()).prop_map(|(tag, a, b)| Demand {
-        pool: Tag(tag),
-        slots: Level(a.max(b)).value(),
-        spill: Level(a.min(b)).value(),
+        pool: PoolHash(tag),
+        millislots: Level(a.max(b)).value(),
+        spill_millislots: Level(a.min(b)).value(),
     })
 }
 
@@ -95,25 +95,25 @@
         numbers in any::<[u64; 8]>(),
         millis in 0..(1_u64 << 50),
         demands in prop::collection::vec(levels(), 0..=wire::DEMAND_LIMIT),
-        signs in prop::collection::vec(entries(), 0..=wire::SIGN_LIMIT),
+        drain_notices in prop::collection::vec(entries(), 0..=wire::DRAIN_NOTICE_LIMIT),
         flags in any::<[bool; 4]>(),
     ) -> Report {
-        let [sequence, through, offset, revision, first, second, start, fence] = numbers;
-        let [reset, joining, agrees, extra] = flags;
+        let [sequence, config_offset, membership_offset, revision, first, second, start, fence] = numbers;
+        let [resend_demand, joining, agrees, extra] = flags;
         let start = Time::from_micros(start);
-        let mut report = Report { sequence, through, offset, revision, reset, joining, demands, ..common::plain(0) };
+        let mut report = Report { sequence, config_offset, membership_offset, revision, resend_demand, joining, demands, ..common::plain(0) };
         report.now = Time::from_millis(millis);
         report.sender.callers.set_port(ports.0);
         report.sender.peers.set_port(ports.1);
-        let sign = |entry: Entry| Sign { host: entry.host, incarnation: entry.incarnation };
-        report.signs = signs.into_iter().map(sign).collect();
+        let notice = |entry: Entry| DrainNotice { host: entry.host, incarnation: entry.incarnation };
+        report.drain_notices = drain_notices.into_iter().map(notice).collect();
         if extra {
             let (from, to) = (from.clone(), to.clone());
             report.answer = Some(lease::Answer { from: from.clone(), revision: second, start, agrees });
             report.request = Some(lease::Request { from, to, revision: first, start });
         }
         report.sender.entry = from.clone();
-        report.witness = extra.then(|| lease::JoinAck { from, to, fence: Time::from_micros(fence) });
+        report.join_ack = extra.then(|| lease::JoinAck { from, to, fence: Time::from_micros(fence) });
         report
     }
 }
@@ -139,7 +139,10 @@
 #[test]
 fn reports_survive_the_trip() {
     check((reports(), 0..(1_u64 << 50)), 128, |(report, later)| {
-        let (near, far) = (&mut Link::default(), &mut Link::default());
+        let (near, far) = (
+            &mut ConnectionState::default(),
+            &mut ConnectionState::default(),
+        );
         let second = Report {
             now: Time::from_millis(later),
             ..report.clone()
@@ -166,7 +169,7 @@
             item.state = match kind {
                 0 => RequestState::Lost,
                 1 => RequestState::Dropped,
-                _ => RequestState::Answered(Stored {
+                _ => RequestState::Answered(StoredAnswer {
                     status: 200,
                     headers: vec![("x-a".to_owned(), vec![0xe9, 0x20].into())],
                     body: body.map(Into::into),
@@ -207,14 +210,14 @@
             wire::decode::<wire::Handover>(&bytes, HANDOVER_LIMIT).map(message::Handover::try_from);
         Ok(())
     });
-    let report = wire::Report::new(&common::full(0), &mut Link::default());
+    let report = wire::Report::new(&common::full(0), &mut ConnectionState::default());
     let body = wire::encode(&report, REPORT_LIMIT).unwrap();
     for index in 0..body.len() {
         for bit in 0..8 {
             let mut body = body.clone();
             body[index] ^= 1 << bit;
             let report = wire::decode::<wire::Report>(&body, REPORT_LIMIT);
-            let _ = report.and_then(|report| report.check(&mut Link::default()));
+            let _ = report.and_then(|report| report.check(&mut ConnectionState::default()));
         }
     }
 }
@@ -222,7 +225,7 @@
 /// Guards against errors that don't say what to change.
 #[test]
 fn errors_name_field_value_and_remedy() {
-    let sign = |host: &str, count: usize| json!(vec![(host, 1); count]);
+    let notice = |host: &str, count: usize| json!(vec![(host, 1); count]);
     let results = [
         change("f", Value::Null),
         change("f.h", json!("Entry 1")),
@@ -232,9 +235,9 @@
         demand(&[0; 7]),
         demand(&[0; 6 * 257]),
         demand(&[0, 0, 0, 1, 4, 5]),
-        change("s", sign("h", 129)),
-        change("s", sign("H", 1)),
-        change("s", sign(&"h".repeat(200), 100)),
+        change("s", notice("h", 129)),
+        change("s", notice("H", 1)),
+        change("s", notice(&"h".repeat(200), 100)),
         change("l", json!({"s": 1})),
         change("w", json!({"e": ["", 1], "f": 1})),
         change("n", json!("one")),
@@ -254,14 +257,14 @@
 fn malformed_parts_refuse_the_whole_message() {
     let mut lines = String::new();
     let mut note = |error: Error| writeln!(lines, "{error}").unwrap();
-    let mut send = |stored: Stored| {
+    let mut send = |stored: StoredAnswer| {
         let mut handover = common::handover(&[None]);
         handover.items[0].state = RequestState::Answered(stored);
         let body = wire::encode(&wire::Handover::from(&handover), HANDOVER_LIMIT).unwrap();
         let wire: wire::Handover = wire::decode(&body, HANDOVER_LIMIT).unwrap();
         note(message::Handover::try_from(wire).unwrap_err());
     };
-    let stored = |status, name: &str, value: &'static [u8]| Stored {
+    let stored = |status, name: &str, value: &'static [u8]| StoredAnswer {
         status,
         headers: vec![(name.to_owned(), value.into())],
         body: None,
@@ -270,7 +273,7 @@
     send(stored(200, "A", b""));
     send(stored(200, "a b", b""));
     send(stored(200, "a", b"x\r\ny"));
-    send(Stored {
+    send(StoredAnswer {
         headers: vec![("a".to_owned(), "".into()); 129],
         ..stored(200, "a", b"")
     });
@@ -333,9 +336,12 @@
 /// Guards against messages that grow unnoticed.
 #[test]
 fn sizes_are_known() {
-    let (near, far) = (&mut Link::default(), &mut Link::default());
+    let (near, far) = (
+        &mut ConnectionState::default(),
+        &mut ConnectionState::default(),
+    );
     let mut lines = String::new();
-    let mut size = |case: &str, report: &Report, near: &mut Link| {
+    let mut size = |case: &str, report: &Report, near: &mut ConnectionState| {
         let body = wire::encode(&wire::Report::new(report, near), REPORT_LIMIT).unwrap();
         writeln!(lines, "{case}: {}", body.len()).unwrap();
         body
@@ -347,8 +353,8 @@
     let late = Report {
         now: Time::from_millis(1_800_000_000_000 + 3_600_000),
         sequence: 100_000,
-        through: 1_000_000,
-        offset: 100_000,
+        config_offset: 1_000_000,
+        membership_offset: 100_000,
         revision: 100_000,
         ..common::plain(0)
     };
