--- a/crates/peer/src/roster/book.rs
+++ b/crates/peer/src/roster/demand.rs
@@ -1,4 +1,4 @@
-//! Which demand a peer has been told, and what it has told.
+//! Demand that was sent to a peer, that this process has published, and that a peer has reported.
 
 use crate::{
     message::{
@@ -14,49 +14,50 @@
 };
 use std::collections::BTreeMap;
 
-/// Most pools in a book; beyond it, pools without demand are forgotten.
-const BOOK_LIMIT: usize = 2 * DEMAND_LIMIT;
+/// Most pools for which the last sent value is kept; beyond it, pools without demand are removed.
+const SENT_POOL_LIMIT: usize = 2 * DEMAND_LIMIT;
 
-/// Demand that was sent to one peer.
+/// Last demand that was sent to one peer, from which the changes to send next follow.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Book {
+pub(super) struct SentDemand {
     /// Last value sent, or `None` if it may not have arrived.
     sent: BTreeMap<PoolHash, Option<Demand>>,
-    /// Pool hash of the last repeat.
+    /// Pool that was last sent in turn.
     cursor: Option<PoolHash>,
 }
 
-impl Book {
-    /// Forgets what arrived, so that everything is sent again.
+impl SentDemand {
+    /// Marks every value as possibly lost, so that all are sent again.
     pub(super) fn reset(&mut self) {
         self.sent.values_mut().for_each(|value| *value = None);
     }
 
-    /// Chooses at most `limit` pools: one repeat in turn, and those whose demand changed most.
+    /// Chooses the demand for the next report: one pool in turn, changed or not, and the largest changes, at most
+    /// `limit` pools in all.
     pub(super) fn select(
         &mut self,
         current: &BTreeMap<PoolHash, Demand>,
         limit: usize,
     ) -> Vec<Demand> {
-        let repeat = self.repeat(current);
+        let repeat = self.next_repeat(current);
         let mut chosen: Vec<Demand> = repeat.into_iter().collect();
         let sent = |pool: PoolHash| self.sent.get(&pool).copied().flatten();
-        let unsure = self.sent.keys().copied();
-        let changes = rank(current, unsure, sent, self.cursor.unwrap_or(PoolHash(0)));
+        let recorded = self.sent.keys().copied();
+        let changes = ranked_changes(current, recorded, sent, self.cursor.unwrap_or(PoolHash(0)));
         let repeated = repeat.map(|repeat| repeat.pool);
         let others = changes.filter(|demand| Some(demand.pool) != repeated);
         chosen.extend(others.take(limit.saturating_sub(chosen.len())));
-        // A zero stays in the book, since it is sent again if it may have been lost.
+        // A zero is kept too, since it must be sent again if it may have been lost.
         let sent = chosen.iter().map(|demand| (demand.pool, Some(*demand)));
         self.sent.extend(sent);
-        if self.sent.len() > BOOK_LIMIT {
+        if self.sent.len() > SENT_POOL_LIMIT {
             self.sent.retain(|pool, _| current.contains_key(pool));
         }
         chosen
     }
 
-    /// Returns the next pool in the order of tags, so that every value arrives sometime.
-    fn repeat(&mut self, current: &BTreeMap<PoolHash, Demand>) -> Option<Demand> {
+    /// Returns the next pool in the order of the hashes, so that every value is sent again sooner or later.
+    fn next_repeat(&mut self, current: &BTreeMap<PoolHash, Demand>) -> Option<Demand> {
         let after = |cursor: PoolHash| (Bound::Excluded(cursor), Bound::Unbounded);
         let next = self
             .cursor
@@ -67,24 +68,24 @@
     }
 }
 
-/// Demand that all peers of the zone, and this process itself, weigh with.
+/// Demand of this process that is used as its weight when the zone's slots are divided, here and at the peers.
 ///
-/// It follows the present demand in steps that reach every peer with its next report. If this process weighed with a
-/// burst that its peers don't know yet, their parts of the slots would not add up.
+/// It follows the present demand in steps that are small enough for the next report to every peer. If this process used
+/// a burst that its peers don't know yet, the shares that the entries compute would not add up.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Bulletin {
+pub(super) struct PublishedDemand {
     pub(super) demands: BTreeMap<PoolHash, Demand>,
-    /// Pool hash of the last change, after which equal changes go first.
+    /// Pool of the last change; among equal changes, those after it go first.
     cursor: Option<PoolHash>,
 }
 
-impl Bulletin {
-    /// Takes over at most `limit` changes, the largest first.
-    pub(super) fn follow(&mut self, present: &BTreeMap<PoolHash, Demand>, limit: usize) {
+impl PublishedDemand {
+    /// Applies at most `limit` changes from the present demand, the largest first.
+    pub(super) fn apply_changes(&mut self, present: &BTreeMap<PoolHash, Demand>, limit: usize) {
         let known = &self.demands;
         let cursor = self.cursor.unwrap_or(PoolHash(0));
         let known_pools = known.keys().copied();
-        let changes = rank(
+        let changes = ranked_changes(
             present,
             known_pools,
             |pool| known.get(&pool).copied(),
@@ -96,7 +97,7 @@
     }
 }
 
-/// Merges changes into what is known of an entry's demand.
+/// Merges reported changes into the known demand of an entry; a demand of 0 removes the pool.
 pub(super) fn merge(known: &mut BTreeMap<PoolHash, Demand>, changes: &[Demand]) {
     for demand in changes {
         if demand.millislots == 0 {
@@ -107,10 +108,11 @@
     }
 }
 
-/// Returns the demands in `current` that differ from what is known, and a zero for each of `pools` that has ended.
+/// Returns the demands in `current` that differ from `known`, and a zero for each of `pools` that is not in `current`.
 ///
-/// The largest relative change goes first, since each pool's slots are divided on their own. Equal changes go in turn.
-fn rank(
+/// The largest relative change goes first, since the slots of each pool are divided separately. Equal changes go in the
+/// order of their hashes, beginning after `cursor`.
+fn ranked_changes(
     current: &BTreeMap<PoolHash, Demand>,
     pools: impl Iterator<Item = PoolHash>,
     known: impl Fn(PoolHash) -> Option<Demand>,
--- a/crates/peer/src/roster/drain_notice.rs
+++ b/crates/peer/src/roster/drain_notice.rs
@@ -1,4 +1,4 @@
-//! Drain signs that must still travel.
+//! Drain notices that this process still sends.
 
 use super::limit::DRAIN_NOTICE_SPAN;
 use crate::{
@@ -11,28 +11,28 @@
 /// Drain notices of the last 10 s, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DrainNotices {
-    held: VecDeque<Held>,
+    pending: VecDeque<Pending>,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Pending {
     notice: DrainNotice,
     since: Time,
-    /// Whether this process noticed it itself, so that it passes it on.
+    /// Whether this process found out itself; only such notices are sent.
     own: bool,
-    /// Whether no peer is known to have told the others.
+    /// Whether reports become due for it, since no peer is known to send it to all others.
     urgent: bool,
 }
 
 impl DrainNotices {
-    /// Adds a sign that this process noticed, and tells whether the oldest one had to go.
+    /// Adds a notice that originates at this process. Returns whether the oldest one was dropped to make room.
     pub(super) fn add_own(&mut self, now: Time, notice: DrainNotice) -> bool {
         self.expire(now);
-        if let Some(held) = self.held.iter_mut().find(|held| held.notice == notice) {
-            held.own = true;
+        if let Some(item) = self.pending.iter_mut().find(|item| item.notice == notice) {
+            item.own = true;
             return false;
         }
-        self.push(Held {
+        self.push(Pending {
             notice,
             since: now,
             own: true,
@@ -40,14 +40,21 @@
         })
     }
 
-    /// Takes note of a sign that a peer sends to everybody; `first` tells whether it does so before this process.
-    pub(super) fn add_received(&mut self, now: Time, notice: &DrainNotice, first: bool) -> bool {
+    /// Adds a notice that a peer sends to all entries; `peer_first` tells whether the peer does so before this process.
+    ///
+    /// Returns whether the oldest notice was dropped to make room.
+    pub(super) fn add_received(
+        &mut self,
+        now: Time,
+        notice: &DrainNotice,
+        peer_first: bool,
+    ) -> bool {
         self.expire(now);
-        if let Some(held) = self.held.iter_mut().find(|held| held.notice == *notice) {
-            held.urgent &= !first;
+        if let Some(item) = self.pending.iter_mut().find(|item| item.notice == *notice) {
+            item.urgent &= !peer_first;
             return false;
         }
-        self.push(Held {
+        self.push(Pending {
             notice: notice.clone(),
             since: now,
             own: false,
@@ -55,40 +62,40 @@
         })
     }
 
-    /// Returns the signs to send.
+    /// Returns the notices to send, which are those that originate at this process.
     pub(super) fn own(&mut self, now: Time) -> Vec<DrainNotice> {
         self.expire(now);
-        let own = self.held.iter().filter(|held| held.own);
-        own.map(|held| held.notice.clone()).collect()
+        let own = self.pending.iter().filter(|item| item.own);
+        own.map(|item| item.notice.clone()).collect()
     }
 
-    /// Returns the time of the newest urgent sign that has waited for `wait`, and makes all such signs ordinary.
+    /// Returns the time of the newest urgent notice that has waited for `wait`, and makes all such notices ordinary.
     pub(super) fn take_urgent(&mut self, now: Time, wait: Duration) -> Option<Time> {
         let mut newest = None;
-        let due = |held: &&mut Held| held.urgent && held.since + wait <= now;
-        for held in self.held.iter_mut().filter(due) {
-            held.urgent = false;
-            newest = newest.max(Some(held.since));
+        let due = |item: &&mut Pending| item.urgent && item.since + wait <= now;
+        for item in self.pending.iter_mut().filter(due) {
+            item.urgent = false;
+            newest = newest.max(Some(item.since));
         }
         newest
     }
 
-    fn push(&mut self, held: Held) -> bool {
-        let full = self.held.len() >= DRAIN_NOTICE_LIMIT;
+    fn push(&mut self, item: Pending) -> bool {
+        let full = self.pending.len() >= DRAIN_NOTICE_LIMIT;
         if full {
-            self.held.pop_front();
+            self.pending.pop_front();
         }
-        self.held.push_back(held);
+        self.pending.push_back(item);
         full
     }
 
     fn expire(&mut self, now: Time) {
         while self
-            .held
+            .pending
             .front()
-            .is_some_and(|held| held.since + DRAIN_NOTICE_SPAN <= now)
+            .is_some_and(|item| item.since + DRAIN_NOTICE_SPAN <= now)
         {
-            self.held.pop_front();
+            self.pending.pop_front();
         }
     }
 }
--- a/crates/peer/src/roster/event.rs
+++ b/crates/peer/src/roster/event.rs
@@ -1,15 +1,15 @@
-//! What the roster notices, and its counters.
+//! Events of the roster and its counters.
 
 use sassafrascrank_claim::member::Entry;
 
-/// A change that the owner of the roster acts on.
+/// A change of a peer on which the owner of the roster must act.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The entry has been silent for too long; its slots go to others.
+    /// No report has come from the entry for too long; its slots go to others.
     Lost(Entry),
-    /// A lost entry was heard again.
+    /// A lost entry has reported again.
     Found(Entry),
-    /// The member of the own zone should be retired.
+    /// The entry is a member of the own zone, has not reported for too long and should be retired from the view.
     Retire(Entry),
 }
 
@@ -22,6 +22,6 @@
     pub failed: u64,
     /// Members and seeds that were ignored because there were too many.
     pub ignored_peers: u64,
-    /// Drain signs that were dropped because there were too many; the oldest go first.
+    /// Drain notices that were dropped because there were too many; the oldest go first.
     pub dropped_drain_notices: u64,
 }
--- a/crates/peer/src/roster/exchange.rs
+++ b/crates/peer/src/roster/exchange.rs
@@ -1,17 +1,17 @@
-//! Exchanges with peers: what a report carries, and what an exchange changes.
+//! Composing reports, and applying the reports and failures of exchanges.
 
 use super::{
     Event,
     Key,
     Peer,
     Roster,
-    book,
+    demand,
     limit::{
         DRAIN_NOTICE_WAIT, //
         REPORT_INTERVAL,
         RETIREMENT_LIMIT,
     },
-    roster::spread, //
+    roster::jitter, //
 };
 use crate::message::{
     Demand,
@@ -22,7 +22,7 @@
     prelude::*, //
 };
 
-/// What this process tells its peers about itself.
+/// Offsets that this process reports to its peers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Status {
     /// Offset of the configuration in force.
@@ -34,48 +34,49 @@
 }
 
 impl Roster {
-    /// Takes the present demand of this process; due once in each report interval.
+    /// Publishes the present demand of this process; to be called once in each report interval.
     ///
-    /// Pools without demand are left out. The largest changes are announced to the peers.
+    /// Pools without demand may be left out. Only as many changes are published as the next report carries, the largest
+    /// first.
     pub fn publish(&mut self, demands: impl IntoIterator<Item = Demand>) {
         let rounded = demands.into_iter().map(Demand::rounded);
         let rounded = rounded.filter(|demand| demand.millislots > 0);
         let present = rounded.map(|demand| (demand.pool, demand)).collect();
-        // A report carries one repeat besides the changes.
+        // One place in a report is for a repeated value.
         let limit = self.plan.own_zone_pools.saturating_sub(1).max(1);
-        self.bulletin.follow(&present, limit);
+        self.published.apply_changes(&present, limit);
     }
 
-    /// Returns the demand that was announced, with which this process weighs itself too.
+    /// Returns the published demand, which this process must use as its own weight too.
     pub fn published(&self) -> impl Iterator<Item = &Demand> {
-        self.bulletin.demands.values()
+        self.published.demands.values()
     }
 
     /// Composes a report to a peer, or the report in the answer to one.
     ///
-    /// Returns nothing for a stale key.
+    /// Returns `None` for a stale key.
     pub fn compose(&mut self, now: Time, key: Key, status: &Status) -> Option<Report> {
         let peer = self.peers.get_mut(key)?;
         peer.sequence += 1;
-        let demands = &self.bulletin.demands;
+        let demands = &self.published.demands;
         let demands = if peer.own_zone {
-            peer.told.select(demands, self.plan.own_zone_pools)
+            peer.sent_demand.select(demands, self.plan.own_zone_pools)
         } else {
-            // Other zones divide only what may leave this zone.
+            // Other zones need only the demand that may be served outside this zone.
             let spill = demands
                 .iter()
                 .filter(|(_, demand)| demand.spill_millislots > 0);
             let spill = spill.map(|(pool, demand)| (*pool, *demand)).collect();
-            peer.told.select(&spill, self.plan.other_zone_pools)
+            peer.sent_demand.select(&spill, self.plan.other_zone_pools)
         };
         Some(Report {
-            sender: self.me.clone(),
+            sender: self.local.clone(),
             sequence: peer.sequence,
             now,
             config_offset: status.config_offset,
             membership_offset: status.membership_offset,
             revision: status.revision,
-            resend_demand: peer.missed,
+            resend_demand: peer.may_have_missed_demand,
             demands,
             drain_notices: self.drain_notices.own(now),
             request: peer.request.take(),
@@ -85,23 +86,23 @@
         })
     }
 
-    /// Takes the report that a peer sent, and returns its key for the answer.
+    /// Applies a report that a peer sent, and returns the key of the peer for the answer.
     ///
-    /// Returns nothing if there are too many peers, or if the report is from this process itself.
+    /// Returns `None` if there are too many peers, or if the report is from this process itself.
     pub fn receive(&mut self, now: Time, report: &Report) -> Option<Key> {
-        let key = self.identify(now, report)?;
-        self.take(now, key, report);
+        let key = self.find_or_add(now, report)?;
+        self.apply_report(now, key, report);
         Some(key)
     }
 
-    /// Takes the report in the answer of the peer to which a report was sent.
+    /// Ends an exchange that this process began, and applies the report in the answer.
     pub fn record_success(&mut self, now: Time, key: Key, report: &Report) {
-        let Some(known) = self.identify(now, report) else {
+        let Some(known) = self.find_or_add(now, report) else {
             self.record_failure(now, key);
             return;
         };
-        self.take(now, known, report);
-        self.peers[known].missed = false;
+        self.apply_report(now, known, report);
+        self.peers[known].may_have_missed_demand = false;
         if known == key {
             self.peers[key].in_flight = false;
         } else {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Gives the place of a peer to another process that answered at its address.
+    /// Handles an answer by another process, `known`, at the address of the peer `key`.
     fn replace(&mut self, now: Time, key: Key, known: Key) {
         let Some(old) = self.peers.get_mut(key) else {
             return;
@@ -119,13 +120,13 @@
             self.peers.remove(key);
             self.replan();
         } else {
-            // The earlier process stays until it is retired or leaves the view.
+            // The earlier process remains a peer until it is retired or leaves the view.
             self.record_failure(now, key);
         }
         self.peers[known].seed |= seed;
     }
 
-    /// Takes note of an exchange that failed; the next one is due in a second.
+    /// Ends an exchange that failed, and sets the time of the next one.
     pub fn record_failure(&mut self, now: Time, key: Key) {
         let id = self.id;
         let interval = self.plan.other_zone_interval;
@@ -134,9 +135,9 @@
         };
         self.count.failed += 1;
         peer.in_flight = false;
-        peer.missed = true;
-        peer.told.reset();
-        // A peer that stays away must not cost more than a live one.
+        peer.may_have_missed_demand = true;
+        peer.sent_demand.reset();
+        // Retries with an unreachable peer of another zone must not take more traffic than a live peer.
         let away = peer.lost || peer.entry.is_none();
         let wait = if peer.own_zone || !away {
             REPORT_INTERVAL
@@ -147,10 +148,10 @@
         peer.due = now + wait + Duration::from_millis(jitter);
     }
 
-    /// Finds the sender of a report, or makes it known.
-    fn identify(&mut self, now: Time, report: &Report) -> Option<Key> {
+    /// Returns the key of the sender of a report, adding it if it is unknown.
+    fn find_or_add(&mut self, now: Time, report: &Report) -> Option<Key> {
         let sender = &report.sender;
-        if sender.entry == self.me.entry {
+        if sender.entry == self.local.entry {
             return None;
         }
         let seed = || {
@@ -166,16 +167,16 @@
         peer.entry = Some(sender.entry.clone());
         peer.zone = Some(sender.zone.clone());
         peer.address = sender.peers;
-        peer.own_zone = sender.zone == self.me.zone;
+        peer.own_zone = sender.zone == self.local.zone;
         if fresh {
             self.replan();
         }
         Some(key)
     }
 
-    /// Takes what a report says, and sets the time of the next exchange.
-    fn take(&mut self, now: Time, key: Key, report: &Report) {
-        let wait = self.wait(key);
+    /// Updates the sender of a report, and sets the time of the next exchange with it.
+    fn apply_report(&mut self, now: Time, key: Key, report: &Report) {
+        let wait = self.next_interval(key);
         let peer = &mut self.peers[key];
         if peer.lost {
             peer.lost = false;
@@ -184,26 +185,28 @@
         self.count.exchanged += 1;
         peer.last_heard = now;
         peer.due = now + wait;
-        peer.retire = Some(now + RETIREMENT_LIMIT);
+        peer.retirement_due = Some(now + RETIREMENT_LIMIT);
         // A lower offset never replaces a higher one of the same process.
         peer.config_offset = peer.config_offset.max(report.config_offset);
         peer.membership_offset = peer.membership_offset.max(report.membership_offset);
         if report.resend_demand {
-            peer.told.reset();
+            peer.sent_demand.reset();
         }
-        book::merge(&mut peer.demands, &report.demands);
-        // Of the entries that noticed a sign, the one with the shortest wait makes its reports due.
-        let first = spread(peer.identity(), DRAIN_NOTICE_WAIT) < spread(self.id, DRAIN_NOTICE_WAIT);
+        demand::merge(&mut peer.demands, &report.demands);
+        // Of the entries that originate the same notice, the one with the shortest wait sends it first.
+        let peer_first =
+            jitter(peer.identity(), DRAIN_NOTICE_WAIT) < jitter(self.id, DRAIN_NOTICE_WAIT);
         for notice in &report.drain_notices {
-            let dropped = self.drain_notices.add_received(now, notice, first);
+            let dropped = self.drain_notices.add_received(now, notice, peer_first);
             self.count.dropped_drain_notices += u64::from(dropped);
         }
     }
 
     /// Returns the time until this process sends the next report.
     ///
-    /// One of two peers sends and the other one answers; it sends only if the report of the first stays away.
-    fn wait(&self, key: Key) -> Duration {
+    /// Of two peers, only one sends and the other one answers. The other one waits for longer and sends only if no
+    /// report arrives.
+    fn next_interval(&self, key: Key) -> Duration {
         let peer = &self.peers[key];
         let interval = if peer.own_zone {
             REPORT_INTERVAL
--- a/crates/peer/src/roster/mod.rs
+++ b/crates/peer/src/roster/mod.rs
@@ -1,6 +1,6 @@
-//! Who the peers are, when each was last heard, and to whom a report is due.
+//! The known peers: when each was last heard, when the next report is due, and what it carries.
 
-mod book;
+mod demand;
 mod drain_notice;
 mod event;
 mod exchange;
--- a/crates/peer/src/roster/peer.rs
+++ b/crates/peer/src/roster/peer.rs
@@ -1,6 +1,6 @@
-//! What is known of one peer.
+//! State of one peer.
 
-use super::book::Book;
+use super::demand::SentDemand;
 use crate::message::{
     Demand,
     PoolHash, //
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 
 slotmap::new_key_type! {
-    /// Identifies a peer within one roster; a stale one finds nothing.
+    /// Identifies a peer within one roster; the key of a removed peer is never used again.
     pub struct Key;
 }
 
@@ -33,27 +33,34 @@
     pub(super) entry: Option<Entry>,
     pub(super) zone: Option<Name>,
     pub(super) address: SocketAddr,
+    /// Whether its address comes from the settings.
     pub(super) seed: bool,
+    /// Whether it is in the membership view.
     pub(super) member: bool,
     pub(super) own_zone: bool,
-    /// When it was last heard, or when it became known.
+    /// When its last report arrived, or when it became known.
     pub(super) last_heard: Time,
     /// When the next exchange is due.
     pub(super) due: Time,
+    /// Whether this process waits for the answer to a report.
     pub(super) in_flight: bool,
     pub(super) lost: bool,
-    /// When its retirement is due, as long as it stays silent; `None` once it was announced.
-    pub(super) retire: Option<Time>,
+    /// When its retirement is due unless it reports; `None` once [`Event::Retire`](super::Event::Retire) was returned.
+    pub(super) retirement_due: Option<Time>,
     /// Whether demand that it sent may have been missed.
-    pub(super) missed: bool,
+    pub(super) may_have_missed_demand: bool,
+    /// Number of the last report to it.
     pub(super) sequence: u64,
     pub(super) config_offset: u64,
     pub(super) membership_offset: u64,
-    pub(super) told: Book,
+    pub(super) sent_demand: SentDemand,
+    /// Its demand, merged from its reports.
     pub(super) demands: BTreeMap<PoolHash, Demand>,
-    /// What travels with the next report.
+    /// Request for confirmation to send with the next report.
     pub(super) request: Option<lease::Request>,
+    /// Answer to send with the next report.
     pub(super) answer: Option<lease::Answer>,
+    /// Join acknowledgement to send with the next report.
     pub(super) join_ack: Option<JoinAck>,
 }
 
@@ -70,12 +77,12 @@
             due: now,
             in_flight: false,
             lost: false,
-            retire: None,
-            missed: true,
+            retirement_due: None,
+            may_have_missed_demand: true,
             sequence: 0,
             config_offset: 0,
             membership_offset: 0,
-            told: Book::default(),
+            sent_demand: SentDemand::default(),
             demands: BTreeMap::new(),
             request: None,
             answer: None,
@@ -83,7 +90,7 @@
         }
     }
 
-    /// Returns the process, or `None` for a seed that has not been heard.
+    /// Returns the process, or `None` for a seed that has not reported yet.
     pub const fn entry(&self) -> Option<&Entry> {
         self.entry.as_ref()
     }
@@ -93,17 +100,17 @@
         self.zone.as_ref()
     }
 
-    /// Returns the address for peers.
+    /// Returns the address where it listens for peers.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the time at which it was last heard, or became known.
+    /// Returns the time at which its last report arrived, or at which it became known.
     pub const fn last_heard(&self) -> Time {
         self.last_heard
     }
 
-    /// Tells whether it has been silent for too long.
+    /// Returns whether it has sent no report for too long.
     pub const fn is_lost(&self) -> bool {
         self.lost
     }
@@ -113,6 +120,7 @@
         self.demands.values()
     }
 
+    /// Returns a hash of host and incarnation, or 0 if the process is unknown.
     pub(super) fn identity(&self) -> u64 {
         let entry = self.entry.as_ref();
         entry.map_or(0, |entry| hash::identity(&entry.host, entry.incarnation))
--- a/crates/peer/src/roster/plan.rs
+++ b/crates/peer/src/roster/plan.rs
@@ -1,4 +1,4 @@
-//! How often other zones get a report, and how many pools a report carries.
+//! Interval of the reports to other zones, and number of pools in a report.
 
 use super::limit::{
     BYTES_PER_SECOND_BUDGET,
@@ -7,18 +7,19 @@
 use crate::wire::DEMAND_LIMIT;
 use core::time::Duration;
 
-/// Bytes of one exchange without demand: two HTTP heads and two reports.
+/// Bytes of one exchange without demand: the heads of an HTTP request and its response, and two reports.
 const EXCHANGE_BYTES: u64 = 176;
-/// Bytes of one pool in both directions.
+/// Bytes of the demand for one pool, sent and received.
 const ITEM_BYTES: u64 = 12;
-/// Fewest pools in a report to the own zone: two changes and a repeat. With one change, a burst takes longer than 3 s.
+/// Fewest pools in a report to the own zone: two changes and a repeated value. With one change, a burst takes longer
+/// than 3 s to reach the peers.
 const OWN_ITEMS: usize = 3;
 /// Pools in a report to another zone.
 const OTHER_ITEMS: usize = 4;
 /// Longest time between two reports to another zone; servers close connections that are idle for longer.
 const INTERVAL_LIMIT: Duration = Duration::from_secs(20);
 
-/// Division of the bytes between own zone, other zones and demand.
+/// Division of the traffic budget between exchanges with the own zone, with other zones, and demand.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Plan {
     /// Pools in a report to an entry of the own zone.
@@ -30,8 +31,10 @@
 }
 
 impl Plan {
-    /// Plans for the given numbers of peers: half of what the own zone's exchanges leave goes to other zones, and half
-    /// to the own zone's demand.
+    /// Makes the plan for the given numbers of peers.
+    ///
+    /// Of the bytes that the exchanges with the own zone leave, half go to other zones, and half to the demand in the
+    /// reports to the own zone.
     pub fn new(own: usize, others: usize) -> Self {
         let (own, others) = (own as u64, others as u64);
         let rest = BYTES_PER_SECOND_BUDGET.saturating_sub(own * EXCHANGE_BYTES);
--- a/crates/peer/src/roster/roster.rs
+++ b/crates/peer/src/roster/roster.rs
@@ -1,4 +1,4 @@
-//! The roster and its time limits.
+//! The roster: the peers, and when reports to them and retirements are due.
 
 use super::{
     Count,
@@ -6,7 +6,7 @@
     Key,
     Peer,
     Plan,
-    book::Bulletin,
+    demand::PublishedDemand,
     drain_notice::DrainNotices, //
     limit::{
         DRAIN_NOTICE_WAIT,
@@ -43,43 +43,48 @@
 };
 use slotmap::SlotMap;
 
-/// The peers of one process.
+/// The peers of one process, and the schedule of the exchanges with them.
+///
+/// It uses neither sockets nor a clock: its owner passes the present time and makes the exchanges.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    pub(super) me: Sender,
+    /// This process.
+    pub(super) local: Sender,
+    /// Hash of its host and incarnation.
     pub(super) id: u64,
     pub(super) peers: SlotMap<Key, Peer>,
     pub(super) drain_notices: DrainNotices,
-    pub(super) bulletin: Bulletin,
+    pub(super) published: PublishedDemand,
     pub(super) plan: Plan,
     pub(super) events: Vec<Event>,
     pub(super) count: Count,
-    /// Since when a peer has had newer state, and what this process had then.
-    behind: Option<(Time, KnownState)>,
-    asked: Option<Time>,
-    ticked: Time,
+    /// When a peer was first seen to have newer state, and the state that this process had then.
+    behind_since: Option<(Time, KnownState)>,
+    last_state_request: Option<Time>,
+    last_tick: Time,
+    /// Whether this process needs a join acknowledgement.
     pub(super) joining: bool,
 }
 
 impl Roster {
     /// Makes a roster that knows only the seeds.
-    pub fn new(now: Time, me: Sender, seeds: &[SocketAddr]) -> Self {
-        let id = hash::identity(&me.entry.host, me.entry.incarnation);
+    pub fn new(now: Time, local: Sender, seeds: &[SocketAddr]) -> Self {
+        let id = hash::identity(&local.entry.host, local.entry.incarnation);
         let mut roster = Self {
             id,
             peers: SlotMap::with_key(),
             drain_notices: DrainNotices::default(),
-            bulletin: Bulletin::default(),
+            published: PublishedDemand::default(),
             plan: Plan::new(0, 0),
             events: Vec::new(),
             count: Count::default(),
-            behind: None,
-            asked: None,
-            ticked: now,
+            behind_since: None,
+            last_state_request: None,
+            last_tick: now,
             joining: false,
-            me,
+            local,
         };
-        let own = roster.me.peers;
+        let own = roster.local.peers;
         for &address in seeds.iter().filter(|address| **address != own) {
             let mut peer = Peer::new(now, None, address);
             peer.seed = true;
@@ -89,18 +94,18 @@
         roster
     }
 
-    /// Goes on as another incarnation, after the former one was retired.
+    /// Changes the identity of this process to another incarnation, after the former one was retired.
     pub fn set_entry(&mut self, entry: Entry) {
         self.id = hash::identity(&entry.host, entry.incarnation);
-        self.me.entry = entry;
+        self.local.entry = entry;
     }
 
     /// Returns the availability zone of this process.
     pub const fn zone(&self) -> &Name {
-        &self.me.zone
+        &self.local.zone
     }
 
-    /// Returns what is known of a peer.
+    /// Returns a peer, or `None` for a stale key.
     pub fn peer(&self, key: Key) -> Option<&Peer> {
         self.peers.get(key)
     }
@@ -118,7 +123,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Returns the division of the bytes.
+    /// Returns the present plan of the traffic.
     pub const fn plan(&self) -> Plan {
         self.plan
     }
@@ -128,7 +133,9 @@
         self.count
     }
 
-    /// Follows the membership view; `address_of` returns where a member listens for peers.
+    /// Adds the members of the view as peers, and removes silent peers that are no members.
+    ///
+    /// `address_of` returns where a member listens for peers.
     pub fn update_members(
         &mut self,
         now: Time,
@@ -140,25 +147,25 @@
         }
         for (name, zone) in &view.zones {
             for member in &zone.members {
-                if member.entry != self.me.entry {
-                    self.keep(now, name, member, address_of(member));
+                if member.entry != self.local.entry {
+                    self.add_member(now, name, member, address_of(member));
                 }
             }
         }
-        self.forget(now);
+        self.remove_silent(now);
         self.replan();
     }
 
-    /// Notices an upstream that is leaving; the sign travels with the reports of the next 10 s.
+    /// Announces an upstream that is leaving, with the reports of the next 10 s.
     pub fn announce_drain(&mut self, now: Time, notice: DrainNotice) {
         let dropped = self.drain_notices.add_own(now, notice);
         self.count.dropped_drain_notices += u64::from(dropped);
     }
 
-    /// Returns the peers to which a report is due; each stays in flight until the owner calls
+    /// Returns the peers to which a report is due; no other report to them is due until the owner calls
     /// [`record_success`](Self::record_success) or [`record_failure`](Self::record_failure).
     pub fn due(&mut self, now: Time) -> Vec<Key> {
-        let wait = spread(self.id, DRAIN_NOTICE_WAIT);
+        let wait = jitter(self.id, DRAIN_NOTICE_WAIT);
         if let Some(since) = self.drain_notices.take_urgent(now, wait) {
             for peer in self
                 .peers
@@ -178,14 +185,14 @@
         due
     }
 
-    /// Asks other members for testimonies as long as this process needs one.
+    /// Sets whether this process needs a join acknowledgement; if so, its reports ask the members of its zone for one.
     pub const fn set_joining(&mut self, joining: bool) {
         self.joining = joining;
     }
 
-    /// Sends a request for confirmation to its target, with a report that is due at once.
+    /// Queues a request for confirmation for its receiver, and makes a report due at once.
     ///
-    /// A confirmation that waits for two reports would use up 2 s of a lease of 5 s.
+    /// If request and answer each waited for a regular report, a confirmation would use up 2 s of a lease of 5 s.
     pub fn queue_request(&mut self, request: lease::Request) {
         if let Some(key) = self.find(&request.to) {
             let peer = &mut self.peers[key];
@@ -194,7 +201,7 @@
         }
     }
 
-    /// Sends the answer to a request for confirmation to `to`, with a report that is due at once.
+    /// Queues the answer to a request for confirmation from `to`, and makes a report due at once.
     pub fn queue_answer(&mut self, to: &Entry, answer: lease::Answer) {
         if let Some(key) = self.find(to) {
             let peer = &mut self.peers[key];
@@ -203,7 +210,7 @@
         }
     }
 
-    /// Sends a testimony with the next report to the entry that joined.
+    /// Queues a join acknowledgement for the next report to the entry that joined.
     pub fn queue_join_ack(&mut self, join_ack: JoinAck) {
         if let Some(key) = self.find(&join_ack.to) {
             self.peers[key].join_ack = Some(join_ack);
@@ -218,9 +225,9 @@
         due.map_or(latest, |due| due.clamp(now, latest))
     }
 
-    /// Notices silence, and returns what has happened since the last call.
+    /// Checks which peers have been silent for too long, and returns the events since the last call.
     pub fn tick(&mut self, now: Time) -> Vec<Event> {
-        self.allow_pause(now);
+        self.extend_after_pause(now);
         let grace = match self.is_isolated(now) {
             true => ISOLATION_WAIT,
             false => Duration::ZERO,
@@ -236,22 +243,22 @@
             };
             if !peer.lost && now.since(peer.last_heard) >= SILENCE_LIMIT + extra {
                 peer.lost = true;
-                peer.missed = true;
+                peer.may_have_missed_demand = true;
                 self.events.push(Event::Lost(entry.clone()));
             }
             let retire = peer.member && peer.own_zone;
-            if retire && peer.retire.is_some_and(|due| due + grace <= now) {
-                peer.retire = None;
+            if retire && peer.retirement_due.is_some_and(|due| due + grace <= now) {
+                peer.retirement_due = None;
                 self.events.push(Event::Retire(entry.clone()));
             }
         }
-        if self.forget(now) {
+        if self.remove_silent(now) {
             self.replan();
         }
         core::mem::take(&mut self.events)
     }
 
-    /// Tells whether this process hears none of several members of its zone.
+    /// Returns whether the zone has at least two other members and this process hears none of them.
     ///
     /// It may be cut off from them while all reach the log; it then waits until it would have read its own retirement.
     fn is_isolated(&self, now: Time) -> bool {
@@ -267,17 +274,19 @@
         all > 1 && heard == 0
     }
 
-    /// Announces the retirement of a silent entry again in a second, because it could not be appended.
+    /// Returns the retirement of an entry again in a second if it stays silent, because it could not be appended.
     pub fn postpone_retirement(&mut self, now: Time, entry: &Entry) {
         if let Some(key) = self.find(entry) {
             let peer = &mut self.peers[key];
-            peer.retire = Some((now + REPORT_INTERVAL).max(peer.last_heard + RETIREMENT_LIMIT));
+            peer.retirement_due =
+                Some((now + REPORT_INTERVAL).max(peer.last_heard + RETIREMENT_LIMIT));
         }
     }
 
-    /// Returns a peer that is worth asking for its state, given the offsets of this process.
+    /// Returns the peer to ask for newer state, if any, given the state that this process has.
     ///
-    /// A peer is asked only if it has been ahead for some seconds, or at once if this process has nothing.
+    /// A peer is asked once this process has been behind for [`LAG_LIMIT`], or at once if a part of its state is
+    /// missing.
     pub fn choose_state_source(&mut self, now: Time, have: KnownState) -> Option<Key> {
         let ahead = |peer: &Peer| {
             let hosts = !have.hosts && peer.config_offset > 0;
@@ -288,41 +297,41 @@
             .filter(|(_, peer)| ahead(peer))
             .max_by_key(|(key, peer)| (peer.config_offset, peer.membership_offset, *key));
         let Some((key, _)) = best else {
-            self.behind = None;
+            self.behind_since = None;
             return None;
         };
-        let since = match self.behind {
+        let since = match self.behind_since {
             Some((since, then)) if then == have => since,
             _ => now,
         };
-        self.behind = Some((since, have));
+        self.behind_since = Some((since, have));
         let recent = self
-            .asked
+            .last_state_request
             .is_some_and(|asked| now < asked + STATE_REQUEST_INTERVAL);
         if recent || (have.config > 0 && have.member > 0 && have.hosts && now < since + LAG_LIMIT) {
             return None;
         }
-        self.asked = Some(now);
+        self.last_state_request = Some(now);
         Some(key)
     }
 
-    /// Starts the silence of all members anew after this process itself was paused or its clock jumped.
+    /// Restarts the time until each retirement after this process was paused or its clock jumped.
     ///
-    /// Otherwise a process that wakes up late would have every other member of its zone retired.
-    fn allow_pause(&mut self, now: Time) {
-        let last = core::mem::replace(&mut self.ticked, now);
+    /// Otherwise a process that resumes late would have every other member of its zone retired.
+    fn extend_after_pause(&mut self, now: Time) {
+        let last = core::mem::replace(&mut self.last_tick, now);
         if now.since(last) < PAUSE_LIMIT {
             return;
         }
         for peer in self.peers.values_mut() {
-            if let Some(due) = &mut peer.retire {
+            if let Some(due) = &mut peer.retirement_due {
                 *due = now + RETIREMENT_LIMIT;
             }
         }
     }
 
-    /// Forgets silent processes that are neither members nor seeds, and tells whether there were any.
-    fn forget(&mut self, now: Time) -> bool {
+    /// Removes silent peers that are neither members nor seeds, and returns whether there were any.
+    fn remove_silent(&mut self, now: Time) -> bool {
         let before = self.peers.len();
         self.peers.retain(|_, peer| {
             peer.member || peer.seed || peer.in_flight || now.since(peer.last_heard) < SILENCE_LIMIT
@@ -330,9 +339,10 @@
         self.peers.len() < before
     }
 
-    fn keep(&mut self, now: Time, zone: &Name, member: &Member, address: SocketAddr) {
+    /// Adds a member of the view as a peer, or updates the peer that it is already.
+    fn add_member(&mut self, now: Time, zone: &Name, member: &Member, address: SocketAddr) {
         let known = self.find(&member.entry);
-        // A seed that was not heard yet may be this member.
+        // A seed that has not reported yet may be this member.
         let seed = || {
             let mut peers = self.peers.iter();
             peers
@@ -341,7 +351,7 @@
         };
         let key = known.or_else(seed).or_else(|| {
             let mut peer = Peer::new(now, None, address);
-            peer.due = now + spread(self.id, REPORT_INTERVAL);
+            peer.due = now + jitter(self.id, REPORT_INTERVAL);
             self.insert(peer)
         });
         let Some(key) = key else {
@@ -352,14 +362,15 @@
             peer.entry = Some(member.entry.clone());
             peer.last_heard = now;
         }
-        if !peer.member && peer.retire.is_none() && !peer.lost {
-            peer.retire = Some(peer.last_heard.max(now) + RETIREMENT_LIMIT);
+        if !peer.member && peer.retirement_due.is_none() && !peer.lost {
+            peer.retirement_due = Some(peer.last_heard.max(now) + RETIREMENT_LIMIT);
         }
         peer.member = true;
         peer.zone = Some(zone.clone());
-        peer.own_zone = *zone == self.me.zone;
+        peer.own_zone = *zone == self.local.zone;
     }
 
+    /// Adds a peer unless there are too many.
     pub(super) fn insert(&mut self, peer: Peer) -> Option<Key> {
         if self.peers.len() >= PEER_LIMIT {
             self.count.ignored_peers += 1;
@@ -374,8 +385,8 @@
     }
 }
 
-/// Returns a part of `span` that differs between processes.
-pub(super) fn spread(id: u64, span: Duration) -> Duration {
+/// Returns a duration below `span` that depends on the process, so that processes don't act at the same moment.
+pub(super) fn jitter(id: u64, span: Duration) -> Duration {
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX).max(1);
     Duration::from_micros(hash::mix(id) % micros)
 }
