--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,8 @@
-//! How entry processes talk to each other: messages, their serialised form, server, client and schedule.
+//! Communication between entries, the processes that accept the requests of callers: messages, their serialised form,
+//! server, client and schedule.
 //!
-//! Messages are MessagePack over HTTP/1.1. The module [`roster`] decides to whom a report is due; it uses neither
-//! sockets nor a clock.
+//! Messages are MessagePack over HTTP/1.1. The module [`roster`] keeps the known peers and decides to whom a report is
+//! due; it uses neither sockets nor a clock.
 
 pub mod client;
 pub mod message;
--- a/crates/peer/src/message/demand.rs
+++ b/crates/peer/src/message/demand.rs
@@ -1,32 +1,32 @@
-//! Demand for a pool, and its short form.
+//! Demand for a pool, and its one-byte form.
 
 use super::PoolHash;
 
-/// Smallest demand that is told apart from none, in thousandths of a slot.
+/// Smallest demand above 0 that a level can express, in thousandths of a slot.
 const UNIT: u64 = 125;
-/// The eight steps of a factor of two, in 1,024ths.
+/// Eight steps between 1 and 2, in 1,024ths.
 const STEPS: [u64; 8] = [1_024, 1_117, 1_218, 1_328, 1_448, 1_579, 1_722, 1_878];
 
 /// Demand for one pool, in thousandths of a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Demand {
-    /// The pool.
+    /// Hash of the pool's name.
     pub pool: PoolHash,
     /// Slots that the entry could use; 0 if the demand has ended.
     pub millislots: u64,
-    /// The part of it that may use other availability zones.
+    /// The part of it that other availability zones may serve.
     pub spill_millislots: u64,
 }
 
 /// Demand in one byte: eight steps for each factor of two, so that a value is off by 5% at most.
 ///
-/// Demands only weigh the division of slots between entries. All entries must weigh with the same values, so an entry
-/// rounds its own demand too.
+/// Demands are only weights for the division of slots between entries. All entries must use the same weights, so an
+/// entry rounds its own demand too.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Level(pub u8);
 
 impl Demand {
-    /// Returns the demand as a peer will see it.
+    /// Returns the demand that a peer decodes after the rounding to levels.
     pub fn rounded(self) -> Self {
         Self {
             pool: self.pool,
@@ -37,7 +37,7 @@
 }
 
 impl Level {
-    /// Returns the level closest to `value`; any demand above 0 has a level above 0.
+    /// Returns the level closest to `value` in thousandths of a slot; any demand above 0 has a level above 0.
     pub fn of(value: u64) -> Self {
         if value == 0 {
             return Self(0);
--- a/crates/peer/src/message/handover.rs
+++ b/crates/peer/src/message/handover.rs
@@ -6,18 +6,18 @@
     Size, //
 };
 
-/// A whole answer of an upstream.
+/// The answer of an upstream to a keyed request, as kept for repeated requests with the same key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredAnswer {
     /// Status code, 100 to 999.
     pub status: u16,
-    /// Names in lower case and values, without the headers that belong to a connection.
+    /// Names in lower case and values, without hop-by-hop headers.
     pub headers: Vec<(String, Bytes)>,
     /// Whole body, or `None` if it was too large to keep.
     pub body: Option<Bytes>,
 }
 
-/// Outcomes of the keys that moved from one entry to another.
+/// Outcomes of requests whose idempotency keys moved from one entry to another.
 pub type Handover = table::Handover<StoredAnswer>;
 
 impl Size for StoredAnswer {
--- a/crates/peer/src/message/host.rs
+++ b/crates/peer/src/message/host.rs
@@ -1,4 +1,4 @@
-//! A host of the platform's list.
+//! A host in the platform's host list.
 
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::Name;
@@ -8,12 +8,12 @@
 pub struct Host {
     /// Name of the host.
     pub name: Name,
-    /// Number of its current start.
+    /// Incarnation, the number of its current start.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: Name,
-    /// Where its upstream takes requests.
+    /// Where its upstream accepts requests.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether it is leaving, so that it gets no new work.
     pub leaving: bool,
 }
--- a/crates/peer/src/message/report.rs
+++ b/crates/peer/src/message/report.rs
@@ -1,4 +1,4 @@
-//! Report and its answer.
+//! Reports, which entry processes exchange at regular intervals.
 
 use super::Demand;
 use core::net::SocketAddr;
@@ -27,26 +27,26 @@
     pub peers: SocketAddr,
 }
 
-/// An upstream that is leaving.
+/// Notice that an upstream is leaving and gets no new work.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct DrainNotice {
     /// Its host.
     pub host: Name,
-    /// Incarnation of the host; a later one is not leaving.
+    /// Incarnation of the host; the notice does not apply to a later one.
     pub incarnation: u64,
 }
 
 /// What an entry tells a peer about itself.
 ///
-/// The answer to a report is a report of the receiver, so that one exchange serves both directions. Requests, answers
-/// and testimonies travel with the next report in either direction.
+/// The answer to a report is a report of the receiver, so that one exchange serves both directions. Requests for
+/// confirmation, their answers and join acknowledgements are sent with the next report in either direction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
     /// Who sends it.
     pub sender: Sender,
     /// Number of the report among those that the sender made for the receiver, from 1.
     pub sequence: u64,
-    /// Present time at the sender, in whole milliseconds on the wire.
+    /// Present time at the sender; sent in whole milliseconds.
     pub now: Time,
     /// Offset of the configuration in force, 0 for none.
     pub config_offset: u64,
@@ -54,18 +54,18 @@
     pub membership_offset: u64,
     /// Offset of the last record that changed the sender's zone.
     pub revision: u64,
-    /// Whether the sender may have missed demand of the receiver, which then sends all of it again.
+    /// Whether the receiver must send all of its demand again, since the sender may have missed a part of it.
     pub resend_demand: bool,
-    /// Demand of pools that changed since the last report to the same peer, or that are due for a repeat.
+    /// Demand that changed since the last report to the same peer, and demand that is repeated in turn.
     pub demands: Vec<Demand>,
     /// Upstreams that are leaving.
     pub drain_notices: Vec<DrainNotice>,
-    /// Asks the receiver to confirm the sender's view; it is from the sender.
+    /// Request of the sender that the receiver confirms the sender's view.
     pub request: Option<lease::Request>,
-    /// Answer to the receiver's request for confirmation; it is from the sender.
+    /// Answer of the sender to the receiver's request for confirmation.
     pub answer: Option<lease::Answer>,
-    /// Whether the sender asks the receiver to testify that it has read the sender's join.
+    /// Whether the sender asks the receiver to acknowledge that it has read the sender's join.
     pub joining: bool,
-    /// Testimony of the sender.
+    /// Acknowledgement by the sender that it has read the receiver's join.
     pub join_ack: Option<JoinAck>,
 }
--- a/crates/peer/src/message/state.rs
+++ b/crates/peer/src/message/state.rs
@@ -1,10 +1,10 @@
-//! Handover of configuration and membership.
+//! Configuration, membership and host list that one process fetches from another.
 
 use super::Host;
 use sassafrascrank_claim::member::View;
 use sassafrascrank_ledger::Image;
 
-/// What the asking process has.
+/// The state that the asking process has already.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct KnownState {
     /// Offset of its configuration.
@@ -15,7 +15,7 @@
     pub hosts: bool,
 }
 
-/// State that is newer than what the asking process has; nothing if both parts are absent.
+/// State that is newer than that of the asking process; a part that is not newer is absent.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
     /// Configuration at a later offset.
@@ -27,7 +27,7 @@
 }
 
 impl State {
-    /// Removes what is not newer than the given offsets.
+    /// Removes the parts that are not newer than the known state.
     pub fn newer_than(self, after: KnownState) -> Self {
         Self {
             config: self.config.filter(|image| image.through > after.config),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells whether nothing is newer.
+    /// Returns whether no part is present.
     pub const fn is_empty(&self) -> bool {
         self.config.is_none() && self.member.is_none() && self.hosts.is_none()
     }
