--- a/crates/peer/src/client/client.rs
+++ b/crates/peer/src/client/client.rs
@@ -100,13 +100,13 @@
             bytes: REPORT_LIMIT,
         };
         let encode = |connection: &mut Connection| {
-            let report = wire::Report::new(report, &mut connection.link);
+            let report = wire::Report::new(report, &mut connection.state);
             let body = wire::encode(&report, REPORT_LIMIT)?;
             request(Method::POST, "/report", body)
         };
         let (mut connection, _, body) = self.call(encode, bound).await?;
         let answer: wire::Report = wire::decode(&body, REPORT_LIMIT)?;
-        let answer = answer.check(&mut connection.link)?;
+        let answer = answer.check(&mut connection.state)?;
         self.connection = Some(connection);
         Ok(answer)
     }
--- a/crates/peer/src/client/connection.rs
+++ b/crates/peer/src/client/connection.rs
@@ -48,7 +48,7 @@
     address: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    pub(super) link: ConnectionState,
+    pub(super) state: ConnectionState,
 }
 
 /// Why there is no answer.
@@ -85,7 +85,7 @@
             address,
             sender,
             driver: driver.abort_handle(),
-            link: ConnectionState::default(),
+            state: ConnectionState::default(),
         })
     }
 
--- a/crates/peer/src/server/session.rs
+++ b/crates/peer/src/server/session.rs
@@ -43,14 +43,14 @@
 /// One connection.
 pub(super) struct Session<H> {
     shared: Rc<Shared<H>>,
-    link: RefCell<ConnectionState>,
+    connection: RefCell<ConnectionState>,
 }
 
 impl<H: Handler> Session<H> {
     pub(super) fn new(shared: Rc<Shared<H>>) -> Self {
         Self {
             shared,
-            link: RefCell::default(),
+            connection: RefCell::default(),
         }
     }
 
@@ -90,9 +90,9 @@
     async fn report(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
         let body = read(request, REPORT_LIMIT).await?;
         let report: wire::Report = wire::decode(&body, REPORT_LIMIT)?;
-        let report = report.check(&mut self.link.borrow_mut())?;
+        let report = report.check(&mut self.connection.borrow_mut())?;
         let answer = self.shared.handler.report(report).await?;
-        let answer = wire::Report::new(&answer, &mut self.link.borrow_mut());
+        let answer = wire::Report::new(&answer, &mut self.connection.borrow_mut());
         let body = wire::encode(&answer, REPORT_LIMIT).map_err(internal)?;
         Ok(reply::success(StatusCode::OK, body))
     }
--- a/crates/peer/src/wire/blob.rs
+++ b/crates/peer/src/wire/blob.rs
@@ -1,4 +1,4 @@
-//! Bytes as one MessagePack value instead of an array of numbers.
+//! Bytes that are encoded as one MessagePack value instead of an array of numbers.
 
 use bytes::Bytes;
 use core::fmt;
--- a/crates/peer/src/wire/codec.rs
+++ b/crates/peer/src/wire/codec.rs
@@ -1,4 +1,4 @@
-//! MessagePack with a check of size and version.
+//! Encoding and decoding of MessagePack, with checks of size and version.
 
 use super::{
     Error,
@@ -9,7 +9,7 @@
     de::DeserializeOwned, //
 };
 
-/// The part that every version of a message has.
+/// The field that a message has in every version.
 #[derive(serde::Deserialize)]
 struct Head {
     v: u16,
@@ -19,10 +19,10 @@
 ///
 /// # Errors
 ///
-/// Fails if the message is larger than `limit` bytes.
+/// Fails if the encoded message is larger than `limit` bytes.
 pub fn encode(message: &impl Serialize, limit: usize) -> Result<Vec<u8>, Error> {
     let body = rmp_serde::to_vec_named(message)
-        .map_err(|error| Error::new("message", "", format!("report a fault: {error}")))?;
+        .map_err(|error| Error::new("message", "", format!("report an encoding bug: {error}")))?;
     check_size(body.len(), limit)?;
     Ok(body)
 }
--- a/crates/peer/src/wire/connection_state.rs
+++ b/crates/peer/src/wire/connection_state.rs
@@ -1,4 +1,4 @@
-//! What both ends of a connection know of each other.
+//! Senders that both ends of a connection have introduced.
 
 use super::{
     Error,
@@ -11,18 +11,18 @@
 use sassafrascrank_base::prelude::Name;
 use sassafrascrank_claim::member::Entry;
 
-/// Introductions on one connection, as one end sees them.
+/// State of one end of a connection, which encoding and checking of reports need.
 ///
-/// The first report in each direction introduces its sender; later ones leave it out.
+/// The first report in each direction introduces its sender, and later ones leave the sender out.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionState {
-    /// What this end has sent.
+    /// The introduction that this end has sent.
     pub(super) own: Option<Introduction>,
-    /// What this end has received.
+    /// The introduction that this end has received.
     pub(super) peer: Option<Introduction>,
 }
 
-/// Sender of a connection and the time of its introduction.
+/// A sender and the time of its introduction; later reports give their time as a difference from it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Introduction {
     pub(super) sender: message::Sender,
@@ -30,7 +30,7 @@
     pub(super) time: u64,
 }
 
-/// Introduction as sent.
+/// Serialised form of [`Introduction`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub(super) struct Sender {
@@ -49,7 +49,7 @@
 }
 
 impl ConnectionState {
-    /// Returns the time of the introduction, and the introduction itself if the peer doesn't have it yet.
+    /// Returns the time of the introduction of `sender`, and the introduction itself if the peer doesn't have it yet.
     pub(super) fn introduce(
         &mut self,
         sender: &message::Sender,
@@ -69,7 +69,7 @@
         (now, Some(wire))
     }
 
-    /// Tells whether the process at the other end is `entry`.
+    /// Returns whether the process at the other end is known to be `entry`.
     pub(super) fn reaches(&self, entry: &Entry) -> bool {
         let peer = self.peer.as_ref();
         peer.is_some_and(|peer| peer.sender.entry == *entry)
--- a/crates/peer/src/wire/error.rs
+++ b/crates/peer/src/wire/error.rs
@@ -1,20 +1,20 @@
-//! Error of a message that fails its check, and the checks that several messages share.
+//! Error of a malformed message, and checks that several messages share.
 
 use core::net::SocketAddr;
 use sassafrascrank_base::name::Name;
 use sassafrascrank_contract::wire;
 
-/// Longest quoted value in characters.
+/// Longest quoted value; in characters.
 const QUOTE_LIMIT: usize = 80;
 
-/// A field holds a value that doesn't fit.
+/// A field of a message holds a value that is not allowed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error("field {field}: value {value} is not allowed: {remedy}")]
 pub struct Error {
     /// Path of the field.
     pub field: String,
-    /// Value as it was given, shortened.
+    /// Value as it was given, cut after 80 characters.
     pub value: String,
     /// What to send instead.
     pub remedy: String,
--- a/crates/peer/src/wire/handover.rs
+++ b/crates/peer/src/wire/handover.rs
@@ -1,4 +1,4 @@
-//! Serialised handover of outcomes.
+//! Serialised handover of the outcomes of keyed requests.
 
 use super::{
     Error, HANDOVER_ITEM_LIMIT, HEADER_LIMIT, VERSION,
@@ -25,7 +25,7 @@
     },
 };
 
-/// Handover as sent.
+/// Serialised form of [`message::Handover`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Handover {
@@ -41,13 +41,13 @@
     items: Vec<Item>,
 }
 
-/// One remembered request.
+/// State of one keyed request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct Item {
-    /// Key, 16 bytes.
+    /// Idempotency key, the 16 bytes of its UUIDv7.
     k: Blob,
-    /// Fingerprint, 16 bytes.
+    /// Fingerprint of the request, 16 bytes.
     p: Blob,
     /// Answer; absent if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/peer/src/wire/host.rs
+++ b/crates/peer/src/wire/host.rs
@@ -1,4 +1,4 @@
-//! Serialised host of the platform's list.
+//! Serialised host in the platform's host list.
 
 use super::{
     Error,
@@ -9,7 +9,7 @@
 };
 use crate::message;
 
-/// A host as sent.
+/// Serialised form of [`message::Host`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Host {
--- a/crates/peer/src/wire/image.rs
+++ b/crates/peer/src/wire/image.rs
@@ -13,30 +13,30 @@
 };
 use sassafrascrank_ledger as ledger;
 
-/// Configuration at one offset.
+/// Serialised form of [`ledger::Image`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Image {
     through: u64,
     floor: u64,
-    values: Vec<Held>,
-    writers: Vec<Seen>,
+    values: Vec<Revision>,
+    writers: Vec<WriterState>,
 }
 
-/// Value in force or tombstone.
+/// Value of one subject, which may be a tombstone.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
-struct Held {
+struct Revision {
     subject: String,
     offset: u64,
     writer: String,
     value: wire::Value,
 }
 
-/// Highest sequence of a writer.
+/// Highest sequence number of a writer.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
-struct Seen {
+struct WriterState {
     writer: String,
     incarnation: u64,
     sequence: u64,
@@ -51,19 +51,19 @@
             through: image.through,
             floor: image.floor,
             values: values
-                .map(|(subject, held)| Held {
+                .map(|(subject, revision)| Revision {
                     subject: subject.to_string(),
-                    offset: held.offset,
-                    writer: held.writer.to_string(),
-                    value: (&held.value).into(),
+                    offset: revision.offset,
+                    writer: revision.writer.to_string(),
+                    value: (&revision.value).into(),
                 })
                 .collect(),
             writers: writers
-                .map(|seen| Seen {
-                    writer: seen.writer.to_string(),
-                    incarnation: seen.incarnation,
-                    sequence: seen.sequence,
-                    offset: seen.offset,
+                .map(|state| WriterState {
+                    writer: state.writer.to_string(),
+                    incarnation: state.incarnation,
+                    sequence: state.sequence,
+                    offset: state.offset,
                 })
                 .collect(),
         }
@@ -78,8 +78,11 @@
         check_count("writers", wire.writers.len(), SUBJECT_LIMIT)?;
         check_offset("floor", wire.floor, wire.through)?;
         let through = wire.through;
-        let values = wire.values.into_iter().map(|held| held.check(through));
-        let writers = wire.writers.into_iter().map(|seen| seen.check(through));
+        let values = wire
+            .values
+            .into_iter()
+            .map(|revision| revision.check(through));
+        let writers = wire.writers.into_iter().map(|state| state.check(through));
         Ok(Self {
             through,
             floor: wire.floor,
@@ -89,23 +92,23 @@
     }
 }
 
-impl Held {
+impl Revision {
     fn check(self, through: u64) -> Result<(model::Subject, ledger::Revision), Error> {
         check_offset("values.offset", self.offset, through)?;
         let subject = model::Subject::try_from(self.subject.as_str());
         let subject =
             subject.map_err(|error| Error::new("subject", &self.subject, error.to_string()))?;
         let value = model::Value::try_from(self.value);
-        let held = ledger::Revision {
+        let revision = ledger::Revision {
             offset: self.offset,
             writer: parse_name("values.writer", &self.writer)?,
             value: value.map_err(|error| Error::from(error).within(&self.subject))?,
         };
-        Ok((subject, held))
+        Ok((subject, revision))
     }
 }
 
-impl Seen {
+impl WriterState {
     fn check(self, through: u64) -> Result<ledger::WriterState, Error> {
         check_offset("writers.offset", self.offset, through)?;
         Ok(ledger::WriterState {
@@ -117,7 +120,7 @@
     }
 }
 
-/// Checks that a part of a state is not newer than the state.
+/// Checks that the offset of a part of a state is not above that of the state.
 pub(super) fn check_offset(field: &str, offset: u64, through: u64) -> Result<(), Error> {
     if offset <= through {
         return Ok(());
--- a/crates/peer/src/wire/member.rs
+++ b/crates/peer/src/wire/member.rs
@@ -13,17 +13,17 @@
 };
 use sassafrascrank_claim::member;
 
-/// Members by zone at one offset.
+/// Serialised form of [`member::View`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct View {
     offset: u64,
     zones: Vec<Zone>,
-    /// Host, highest incarnation and offset of that join.
+    /// Name, highest incarnation and offset of the join with that incarnation, for each host.
     hosts: Vec<(String, u64, u64)>,
 }
 
-/// Members of one zone.
+/// Serialised form of [`member::Zone`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct Zone {
@@ -33,7 +33,7 @@
     members: Vec<Member>,
 }
 
-/// Member of a zone.
+/// Serialised form of [`member::Member`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct Member {
--- a/crates/peer/src/wire/report.rs
+++ b/crates/peer/src/wire/report.rs
@@ -1,4 +1,4 @@
-//! Serialised report. Field names have one letter, since each report carries them.
+//! Serialised report. Field names have one letter to save bytes, since each report contains them.
 
 use super::{
     ConnectionState,
@@ -24,16 +24,16 @@
 /// Bytes of the demand for one pool.
 const DEMAND_BYTES: usize = 6;
 
-/// Report as sent.
+/// Serialised form of [`message::Report`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Report {
     /// Version.
     v: u16,
-    /// Sender, in its first report on a connection.
+    /// Sender, only in its first report on a connection.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     f: Option<Sender>,
-    /// Sequence.
+    /// Sequence number.
     n: u64,
     /// Milliseconds since the time of the introduction.
     t: i64,
@@ -43,13 +43,13 @@
     m: u64,
     /// Offset of the last record that changed the sender's zone.
     r: u64,
-    /// Pool hash in big-endian order, level of slots and level of spill of each pool, 6 bytes one after the other.
+    /// Demand, 6 bytes for each pool: the hash in big-endian order, the level of its slots and the level of its spill.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     d: Option<Blob>,
     /// Host and incarnation of each upstream that is leaving.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     s: Vec<(String, u64)>,
-    /// Whether demand of the receiver may have been missed.
+    /// Whether the receiver must send all of its demand again.
     #[serde(default, skip_serializing_if = "is_false")]
     x: bool,
     /// Request for confirmation.
@@ -58,10 +58,10 @@
     /// Answer to a request for confirmation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     k: Option<Answer>,
-    /// Whether a testimony is asked for.
+    /// Whether the sender asks for a join acknowledgement.
     #[serde(default, skip_serializing_if = "is_false")]
     j: bool,
-    /// Testimony.
+    /// Join acknowledgement.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     w: Option<JoinAck>,
 }
@@ -70,12 +70,12 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct Request {
-    /// Start in microseconds.
+    /// Start in microseconds since the Unix epoch.
     s: u64,
-    /// Host and incarnation that must answer, unless it is the process at the other end.
+    /// Host and incarnation of the process that must answer; absent if it is known to be the one at the other end.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     e: Option<(String, u64)>,
-    /// Revision, unless it is that of the report.
+    /// Revision; absent if it is that of the report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     r: Option<u64>,
 }
@@ -84,9 +84,9 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct Answer {
-    /// Start of the request in microseconds.
+    /// Start of the request in microseconds since the Unix epoch.
     s: u64,
-    /// Revision of the request, unless it is that of the report.
+    /// Revision of the request; absent if it is that of the report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     r: Option<u64>,
     /// Whether the views differ.
@@ -94,21 +94,21 @@
     d: bool,
 }
 
-/// Testimony of the sender.
+/// Acknowledgement by the sender that it has read a join.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 struct JoinAck {
-    /// Host and incarnation that joined.
+    /// Host and incarnation of the process that joined.
     e: (String, u64),
-    /// Fence in microseconds.
+    /// Fence in microseconds since the Unix epoch.
     f: u64,
 }
 
 impl Report {
-    /// Makes the serialised report for the connection `link`.
-    pub fn new(report: &message::Report, link: &mut ConnectionState) -> Self {
+    /// Serialises a report that is sent on `connection`.
+    pub fn new(report: &message::Report, connection: &mut ConnectionState) -> Self {
         let now = report.now.as_millis();
-        let (time, sender) = link.introduce(&report.sender, now);
+        let (time, sender) = connection.introduce(&report.sender, now);
         let demands: Vec<u8> = report.demands.iter().flat_map(encode_demand).collect();
         let drain_notices = report.drain_notices.iter();
         let revision = |value: u64| (value != report.revision).then_some(value);
@@ -127,7 +127,7 @@
             x: report.resend_demand,
             l: report.request.as_ref().map(|request| Request {
                 s: request.start.as_micros(),
-                e: (!link.reaches(&request.to)).then(|| encode_entry(&request.to)),
+                e: (!connection.reaches(&request.to)).then(|| encode_entry(&request.to)),
                 r: revision(request.revision),
             }),
             k: report.answer.as_ref().map(|answer| Answer {
@@ -143,23 +143,25 @@
         }
     }
 
-    /// Checks a report that arrived on the connection `link`.
+    /// Checks a report that arrived on `connection`.
     ///
     /// # Errors
     ///
-    /// Names field, value and remedy of the first value that doesn't fit.
-    pub fn check(self, link: &mut ConnectionState) -> Result<message::Report, Error> {
+    /// Fails for the first field with a value that is not allowed.
+    pub fn check(self, connection: &mut ConnectionState) -> Result<message::Report, Error> {
         check_version(self.v)?;
         if let Some(sender) = self.f {
-            link.peer = Some(sender.try_into()?);
+            connection.peer = Some(sender.try_into()?);
         }
-        let Some(peer) = link.peer.clone() else {
+        let Some(peer) = connection.peer.clone() else {
             let remedy = "send the sender with the first report on a connection";
             return Err(Error::new("f", "nil", remedy));
         };
         let from = &peer.sender.entry;
         let revision = self.r;
-        let request = self.l.map(|request| request.check(from, revision, link));
+        let request = self
+            .l
+            .map(|request| request.check(from, revision, connection));
         let join_ack = self.w.map(|join_ack| join_ack.check(from));
         Ok(message::Report {
             sequence: self.n,
@@ -184,12 +186,12 @@
         self,
         from: &Entry,
         revision: u64,
-        link: &ConnectionState,
+        connection: &ConnectionState,
     ) -> Result<lease::Request, Error> {
         let to = match &self.e {
             Some(entry) => check_entry("l.e", entry)?,
-            None => link.own_entry().cloned().ok_or_else(|| {
-                let remedy = "name the process that must answer until it has introduced itself";
+            None => connection.own_entry().cloned().ok_or_else(|| {
+                let remedy = "name the process that must answer, since the receiver has not introduced itself";
                 Error::new("l.e", "nil", remedy)
             })?,
         };
--- a/crates/peer/src/wire/state.rs
+++ b/crates/peer/src/wire/state.rs
@@ -1,4 +1,4 @@
-//! Serialised state.
+//! Serialised configuration, membership and host list.
 
 use super::{
     Error,
@@ -11,10 +11,10 @@
 };
 use crate::message;
 
-/// Most hosts of a list, five times the target.
+/// Most hosts in a host list, five times the target.
 const HOST_LIMIT: usize = 7_000;
 
-/// State as sent.
+/// Serialised form of [`message::State`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct State {
