--- a/crates/peer/src/client/client.rs
+++ b/crates/peer/src/client/client.rs
@@ -1,4 +1,4 @@
-//! Client of one peer.
+//! Client that calls one peer.
 
 use super::{
     Error,
@@ -35,22 +35,22 @@
     header, //
 };
 
-/// Tries of one call: a second one if the peer had closed the idle connection.
-const TRY_LIMIT: usize = 2;
+/// Attempts of one call. The second one is made only if the peer had closed the idle connection before.
+const ATTEMPT_LIMIT: usize = 2;
 
 /// Time limits of one client.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limit {
-    /// For opening a connection.
+    /// Time for opening a connection.
     pub connect: Duration,
-    /// From sending a report to the end of its answer.
+    /// Time from sending a report to the end of its answer.
     pub report: Duration,
-    /// From sending a handover or a request for state to the end of its answer.
+    /// Time from sending a handover or a request for state to the end of its answer.
     pub transfer: Duration,
 }
 
 impl Limit {
-    /// A report must be over before the next one is due.
+    /// The default bounds. The exchange of a report ends before the next report is due.
     pub const DEFAULT: Self = Self {
         connect: Duration::from_millis(500),
         report: Duration::from_secs(1),
@@ -64,10 +64,10 @@
     }
 }
 
-/// Client with one kept connection.
+/// Client that keeps one connection for its next call.
 ///
-/// Calls follow each other; a process that hands over while it reports uses two clients. It must be used on a `tokio`
-/// runtime.
+/// It makes one call at a time; a process that hands over while it reports uses two clients. It must be used on a
+/// `tokio` runtime.
 pub struct Client {
     address: SocketAddr,
     limit: Limit,
@@ -75,7 +75,7 @@
 }
 
 impl Client {
-    /// Makes a client that connects at its first call.
+    /// Makes a client that connects with its first call.
     pub const fn new(address: SocketAddr, limit: Limit) -> Self {
         Self {
             address,
@@ -93,7 +93,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no connection, the time runs out, the peer refuses the report, or the answer doesn't fit.
+    /// Fails if the peer is unreachable, the time runs out, the peer refuses the report, or the report or its answer is
+    /// malformed.
     pub async fn report(&mut self, report: &Report) -> Result<Report, Error> {
         let bound = Bound {
             time: self.limit.report,
@@ -111,11 +112,11 @@
         Ok(answer)
     }
 
-    /// Asks for state that is newer than `after`; older state is ignored.
+    /// Asks for state that is newer than `after`; older state in the answer is removed.
     ///
     /// # Errors
     ///
-    /// Fails if there is no connection, the time runs out, the peer refuses, or the answer doesn't fit.
+    /// Fails if the peer is unreachable, the time runs out, the peer refuses, or the answer is malformed.
     pub async fn state(&mut self, after: KnownState) -> Result<State, Error> {
         let bound = Bound {
             time: self.limit.transfer,
@@ -139,11 +140,11 @@
         Ok(state.newer_than(after))
     }
 
-    /// Hands over outcomes.
+    /// Hands over the outcomes of keyed requests.
     ///
     /// # Errors
     ///
-    /// Fails if there is no connection, the time runs out, or the peer refuses the handover.
+    /// Fails if the peer is unreachable, the time runs out, the handover is too large, or the peer refuses it.
     pub async fn hand_over(&mut self, handover: &message::Handover) -> Result<(), Error> {
         let bound = Bound {
             time: self.limit.transfer,
@@ -157,16 +158,16 @@
         Ok(())
     }
 
-    /// Makes a call and returns the connection only after a successful answer; any other one is closed.
+    /// Makes a call. The connection is returned only with a successful answer, and is closed otherwise.
     async fn call(
         &mut self,
         encode: impl Fn(&mut Connection) -> Result<Request<Full<Bytes>>, Error>,
         bound: Bound,
     ) -> Result<(Connection, StatusCode, Bytes), Error> {
-        let mut tries = TRY_LIMIT;
+        let mut attempts = ATTEMPT_LIMIT;
         loop {
-            tries -= 1;
-            let mut connection = self.take().await?;
+            attempts -= 1;
+            let mut connection = self.take_connection().await?;
             let request = encode(&mut connection)?;
             match connection.call(request, bound).await {
                 Ok((status, body)) if status.is_success() => return Ok((connection, status, body)),
@@ -176,13 +177,14 @@
                         reason: String::from_utf8_lossy(&body).into_owned(),
                     });
                 }
-                Err(Failure::Unsent(_)) if tries > 0 => {}
+                Err(Failure::Unsent(_)) if attempts > 0 => {}
                 Err(Failure::Unsent(error) | Failure::Call(error)) => return Err(error),
             }
         }
     }
 
-    async fn take(&mut self) -> Result<Connection, Error> {
+    /// Returns the kept connection if it is still open, or a new one.
+    async fn take_connection(&mut self) -> Result<Connection, Error> {
         let kept = self.connection.take();
         match kept.filter(|connection| !connection.is_closed()) {
             Some(connection) => Ok(connection),
@@ -199,7 +201,7 @@
     let request = Request::builder()
         .method(method)
         .uri(path)
-        // The target has no authority, for which the standard asks for an empty value.
+        // The request target has no authority; RFC 9112 requires an empty `Host` value in that case.
         .header(header::HOST, "")
         .body(Full::new(body.into()));
     Ok(request.map_err(|error| wire::Error::new("path", path, error.to_string()))?)
--- a/crates/peer/src/client/connection.rs
+++ b/crates/peer/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that is opened again after a failure.
+//! One connection to a peer; the client replaces it after a failure.
 
 use super::{
     Error,
@@ -31,7 +31,7 @@
     time::timeout, //
 };
 
-/// Largest text of a refusal in bytes.
+/// Largest body of an unsuccessful answer in bytes.
 const REASON_LIMIT: usize = 1 << 10;
 
 /// Bounds of one exchange.
@@ -43,7 +43,7 @@
     pub(super) bytes: usize,
 }
 
-/// A live connection.
+/// A connection with the task that drives it.
 pub(super) struct Connection {
     address: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
@@ -51,7 +51,7 @@
     pub(super) state: ConnectionState,
 }
 
-/// Why there is no answer.
+/// Why a call has no answer.
 pub(super) enum Failure {
     /// The peer had closed the connection, and nothing was sent.
     Unsent(Error),
@@ -67,7 +67,7 @@
         };
         let connect = async {
             let stream = TcpStream::connect(address).await?;
-            // Without this, a small report waits for the acknowledgement of the one before.
+            // Without this, Nagle's algorithm holds a small report back until the one before is acknowledged.
             stream.set_nodelay(true)?;
             Ok::<_, std::io::Error>(stream)
         };
@@ -78,7 +78,7 @@
             .await
             .map_err(|error| unreachable(address, error))?;
         let driver = tokio::spawn(async move {
-            // An error of the driver also reaches the request in flight, which reports it.
+            // The request in flight fails with the same error and returns it.
             let _ = driver.await;
         });
         Ok(Self {
@@ -89,12 +89,12 @@
         })
     }
 
-    /// Tells whether the peer has closed the connection.
+    /// Returns whether the connection is closed.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole answer within the bounds.
     pub(super) async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -151,7 +151,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // A late answer must not keep the socket open.
+        // Without this, the socket would stay open until a late answer arrives.
         self.driver.abort();
     }
 }
--- a/crates/peer/src/client/error.rs
+++ b/crates/peer/src/client/error.rs
@@ -1,4 +1,4 @@
-//! Why a peer gave no usable answer.
+//! Errors of calls of a peer.
 
 use crate::wire;
 use core::{
@@ -6,18 +6,18 @@
     time::Duration, //
 };
 
-/// A call of a peer that failed. Reports, states and handovers may all be sent again.
+/// A call of a peer failed. Reports, requests for state and handovers may all be sent again.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// There is no connection, or it broke.
+    /// The connection could not be opened, or it broke.
     #[error(
         "peer {address} is unreachable ({reason}): check that its process runs and the network is up"
     )]
     Unreachable {
         /// Address of the peer.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system or of the HTTP library.
         reason: String,
     },
     /// The connection or the answer took too long.
@@ -28,7 +28,7 @@
         /// The time limit.
         after: Duration,
     },
-    /// The peer doesn't accept the message.
+    /// The peer answered that it does not accept the message.
     #[error("the peer refused the message with status {status}: {reason}")]
     Refused {
         /// HTTP status.
@@ -36,7 +36,7 @@
         /// Cause and remedy, as the peer gives them.
         reason: String,
     },
-    /// The message or its answer doesn't fit.
+    /// The message or its answer is malformed or too large.
     #[error("malformed message: {0}")]
     Malformed(#[from] wire::Error),
 }
--- a/crates/peer/src/client/mod.rs
+++ b/crates/peer/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Sends messages to one peer.
+//! Client for the messages to one peer.
 
 mod client;
 mod connection;
--- a/crates/peer/src/server/handler.rs
+++ b/crates/peer/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! What the owner of the server does with the messages.
+//! Interface through which the server's owner handles messages.
 
 use crate::message::{
     Handover,
@@ -8,23 +8,23 @@
 };
 use core::future::Future;
 
-/// The message is well formed, but the handler can't accept it.
+/// A well-formed message that the handler can't accept; the peer gets status 409.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal(
     /// Cause and remedy, sent to the peer as text.
     pub String,
 );
 
-/// Receives the messages of peers; `async fn` implements its methods.
+/// Handles the messages of peers; the methods may be implemented by `async fn`.
 ///
-/// A method that takes longer than [`Limit::request`](super::Limit::request) is dropped at an await point.
+/// The future of a method that takes longer than [`Limit::request`](super::Limit::request) is dropped.
 pub trait Handler {
-    /// Takes a report and answers with one of this process.
+    /// Takes a report of a peer and returns the report that answers it.
     fn report(&self, report: Report) -> impl Future<Output = Result<Report, Refusal>>;
 
-    /// Returns state that is newer than `after`; older parts are removed by the server.
+    /// Returns state that is newer than `after`; the server removes the parts that are not.
     fn state(&self, after: KnownState) -> impl Future<Output = Result<State, Refusal>>;
 
-    /// Takes over the outcomes of moved keys, as a whole or not at all.
+    /// Takes over the outcomes of keyed requests, either all or none.
     fn hand_over(&self, handover: Handover) -> impl Future<Output = Result<(), Refusal>>;
 }
--- a/crates/peer/src/server/limit.rs
+++ b/crates/peer/src/server/limit.rs
@@ -5,18 +5,19 @@
 /// Bounds of one server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limit {
-    /// Connections at once; a further one is closed at once.
+    /// Most connections at the same time; a further one is closed immediately.
     pub connections: usize,
-    /// Handovers at once, since each may take 64 MiB; a further one gets status 503.
+    /// Most handovers at the same time, since each may take 64 MiB; a further one gets status 503.
     pub handovers: usize,
-    /// From the head of a request to its answer.
+    /// Longest time from the head of a request to its answer.
     pub request: Duration,
-    /// How long a connection may wait for the head of the next request.
+    /// Longest time for which a connection waits for the head of the next request.
     pub idle: Duration,
 }
 
 impl Limit {
-    /// Two connections for each of 64 entries, twice the target; reports to other zones come within 30 s.
+    /// The default bounds: two connections for each of 64 entries, which is twice the target. Reports
+    /// to other zones come more often than every 30 s, so that their connections stay open.
     pub const DEFAULT: Self = Self {
         connections: 128,
         handovers: 1,
@@ -36,7 +37,7 @@
 pub struct Count {
     /// Connections that were accepted.
     pub accepted: u64,
-    /// Connections that were closed because there were too many, or that could not be accepted.
+    /// Connections that could not be accepted, or that were closed because there were too many.
     pub closed: u64,
     /// Requests with a successful answer.
     pub answered: u64,
--- a/crates/peer/src/server/mod.rs
+++ b/crates/peer/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of peers.
+//! Server for the messages of peers.
 
 mod handler;
 mod limit;
--- a/crates/peer/src/server/reply.rs
+++ b/crates/peer/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! Responses of the server.
+//! HTTP responses of the server.
 
 use crate::wire;
 use bytes::Bytes;
@@ -8,7 +8,7 @@
     StatusCode, //
 };
 
-/// A response that is not a success: its status and a text with cause and remedy.
+/// An unsuccessful response: its status, and a text with cause and remedy.
 pub(super) struct Failure(pub(super) StatusCode, pub(super) String);
 
 impl From<wire::Error> for Failure {
--- a/crates/peer/src/server/server.rs
+++ b/crates/peer/src/server/server.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of peers.
+//! Accepting and serving connections of peers.
 
 use super::{
     Count,
@@ -24,18 +24,18 @@
     TcpStream, //
 };
 
-/// Pause after a failed accept, so that a lack of file descriptors doesn't make the loop spin.
+/// Pause after a failed accept, so that the loop does not spin while file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Bytes that one connection buffers; heads of peers take about 60.
+/// Most bytes that one connection buffers; the heads that peers send take about 60.
 const BUFFER_LIMIT: usize = 64 << 10;
 
-/// Serves peers on the current thread.
+/// Server for the messages of peers; it runs on one thread.
 pub struct Server<H> {
     shared: Rc<Shared<H>>,
 }
 
-/// What all connections share.
+/// State that all connections of a server share.
 pub(super) struct Shared<H> {
     pub(super) handler: H,
     pub(super) limit: Limit,
@@ -45,7 +45,7 @@
 }
 
 impl<H: Handler + 'static> Server<H> {
-    /// Makes a server; [`serve`](Self::serve) starts it.
+    /// Makes a server, which accepts connections once [`serve`](Self::serve) runs.
     pub fn new(handler: H, limit: Limit) -> Self {
         Self {
             shared: Rc::new(Shared {
@@ -68,13 +68,15 @@
         &self.shared.handler
     }
 
-    /// Accepts connections until the future is dropped. It must run in a `LocalSet` or a local runtime.
+    /// Accepts connections until the future is dropped; connections that are open then go on.
+    ///
+    /// It must run in a `LocalSet` or a local runtime.
     pub async fn serve(&self, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.open(stream),
                 Err(_) => {
-                    self.shared.bump(|count| count.closed += 1);
+                    self.shared.update_count(|count| count.closed += 1);
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -84,19 +86,19 @@
     fn open(&self, stream: TcpStream) {
         let shared = &self.shared;
         if shared.connections.get() >= shared.limit.connections {
-            shared.bump(|count| count.closed += 1);
+            shared.update_count(|count| count.closed += 1);
             return;
         }
-        shared.bump(|count| count.accepted += 1);
-        let held = Held::new(Rc::clone(shared));
+        shared.update_count(|count| count.accepted += 1);
+        let guard = ConnectionGuard::new(Rc::clone(shared));
         tokio::task::spawn_local(async move {
-            run(&held.0, stream).await;
+            run(&guard.0, stream).await;
         });
     }
 }
 
 async fn run<H: Handler>(shared: &Rc<Shared<H>>, stream: TcpStream) {
-    // Without this, a small answer waits for the acknowledgement of the one before.
+    // Without this, Nagle's algorithm holds a small answer back until the one before is acknowledged.
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -109,32 +111,32 @@
         .timer(TokioTimer::new())
         .header_read_timeout(shared.limit.idle)
         .max_buf_size(BUFFER_LIMIT)
-        // The date costs 37 bytes in each answer, and the report carries the time.
+        // A date header takes 37 bytes in each answer, and a report contains the time already.
         .auto_date_header(false)
         .serve_connection(TokioIo::new(stream), service);
-    // The peer sees the end of the connection and opens another one.
+    // An error needs no handling: the peer sees that the connection has ended, and opens another one.
     let _ = connection.await;
 }
 
 impl<H> Shared<H> {
-    pub(super) fn bump(&self, change: impl FnOnce(&mut Count)) {
+    pub(super) fn update_count(&self, change: impl FnOnce(&mut Count)) {
         let mut count = self.count.get();
         change(&mut count);
         self.count.set(count);
     }
 }
 
-/// Counts a connection until it is dropped.
-struct Held<H>(Rc<Shared<H>>);
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard<H>(Rc<Shared<H>>);
 
-impl<H> Held<H> {
+impl<H> ConnectionGuard<H> {
     fn new(shared: Rc<Shared<H>>) -> Self {
         shared.connections.set(shared.connections.get() + 1);
         Self(shared)
     }
 }
 
-impl<H> Drop for Held<H> {
+impl<H> Drop for ConnectionGuard<H> {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
--- a/crates/peer/src/server/session.rs
+++ b/crates/peer/src/server/session.rs
@@ -1,4 +1,4 @@
-//! Requests of one connection.
+//! Handling of the requests on one connection.
 
 use super::{
     Handler,
@@ -40,7 +40,7 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// One connection.
+/// State of one connection.
 pub(super) struct Session<H> {
     shared: Rc<Shared<H>>,
     connection: RefCell<ConnectionState>,
@@ -65,11 +65,11 @@
         };
         match result {
             Ok(response) => {
-                self.shared.bump(|count| count.answered += 1);
+                self.shared.update_count(|count| count.answered += 1);
                 response
             }
             Err(failure) => {
-                self.shared.bump(|count| count.refused += 1);
+                self.shared.update_count(|count| count.refused += 1);
                 reply::failure(failure)
             }
         }
@@ -117,7 +117,7 @@
             return Err(Failure(StatusCode::SERVICE_UNAVAILABLE, text.to_owned()));
         }
         handovers.set(handovers.get() + 1);
-        let _held = Held(handovers);
+        let _guard = HandoverGuard(handovers);
         let body = read(request, HANDOVER_LIMIT).await?;
         let handover: wire::Handover = wire::decode(&body, HANDOVER_LIMIT)?;
         let handover = message::Handover::try_from(handover)?;
@@ -126,10 +126,10 @@
     }
 }
 
-/// Counts a handover until it ends or is dropped.
-struct Held<'a>(&'a core::cell::Cell<usize>);
+/// Counts a handover in progress until it is dropped.
+struct HandoverGuard<'a>(&'a core::cell::Cell<usize>);
 
-impl Drop for Held<'_> {
+impl Drop for HandoverGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -150,7 +150,7 @@
         let text = format!("the body is too large: send at most {limit} bytes");
         Failure(StatusCode::PAYLOAD_TOO_LARGE, text)
     };
-    // A stated length is refused before the body is sent.
+    // A `content-length` above the limit is refused without reading the body.
     if request.body().size_hint().lower() > limit as u64 {
         return Err(large());
     }
@@ -162,7 +162,7 @@
 }
 
 fn parse_query(query: &str) -> Result<KnownState, wire::Error> {
-    // A process that does not speak of hosts has a list, or is too old to take one.
+    // A process that sends no `hosts` has a host list, or is too old to accept one.
     let mut after = KnownState {
         hosts: true,
         ..KnownState::default()
@@ -175,7 +175,7 @@
             }
             "config_after" => &mut after.config,
             "member_after" => &mut after.member,
-            // A newer version may ask for more.
+            // A newer version may send further parameters.
             _ => continue,
         };
         let parsed = value.parse();
