--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Sample messages that several tests share.
 #![allow(dead_code, reason = "each test binary uses a part of them")]
 
-pub(crate) mod world;
+pub(crate) mod simulation;
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::{
@@ -60,8 +60,8 @@
     }
 }
 
-/// A report with the fields that every report has.
-pub(crate) fn plain(index: usize) -> Report {
+/// A report with only the fields that every report has.
+pub(crate) fn minimal_report(index: usize) -> Report {
     Report {
         sender: sender(index, "suva"),
         sequence: 7,
@@ -80,7 +80,7 @@
 }
 
 /// A report with every field.
-pub(crate) fn full(index: usize) -> Report {
+pub(crate) fn full_report(index: usize) -> Report {
     Report {
         resend_demand: true,
         demands: vec![demand("quoting", 8_000, 500), demand("roofing", 0, 0)],
@@ -106,7 +106,7 @@
             to: entry(index + 1),
             fence: Time::from_micros(1_800_000_000_000_789),
         }),
-        ..plain(index)
+        ..minimal_report(index)
     }
 }
 
--- a/crates/peer/tests/common/world.rs
+++ b/crates/peer/tests/common/simulation.rs
@@ -1,4 +1,4 @@
-//! Rosters that exchange encoded reports in virtual time, with the bytes counted.
+//! Simulation of rosters that exchange encoded reports in virtual time; it counts the bytes.
 
 use super::{
     name,
@@ -40,15 +40,15 @@
     BTreeSet, //
 };
 
-/// Length of one step.
+/// Virtual time between two steps.
 pub(crate) const STEP: Duration = Duration::from_millis(100);
 
-/// Head of a report, as the test `heads_have_the_counted_size` finds it on a socket.
+/// Head of a report, as the test `http_heads_have_the_size_of_the_simulation` reads it from a socket.
 pub(crate) fn request_head(body: usize) -> String {
     format!("POST /report HTTP/1.1\r\nhost: \r\ncontent-length: {body}\r\n\r\n")
 }
 
-/// Head of an answer.
+/// Head of the HTTP response with a report.
 pub(crate) fn answer_head(body: usize) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {body}\r\n\r\n")
 }
@@ -63,21 +63,21 @@
     pub(crate) confirmed: BTreeMap<Entry, (Time, Time)>,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Time,
     pub(crate) start: Time,
     pub(crate) nodes: Vec<Node>,
     pub(crate) fold: Fold,
-    /// Pairs that can't reach each other, the lower index first.
-    pub(crate) cut: BTreeSet<(usize, usize)>,
-    pub(crate) log: Vec<String>,
+    /// Pairs of entries that can't reach each other, the lower index first.
+    pub(crate) disconnected: BTreeSet<(usize, usize)>,
+    pub(crate) event_lines: Vec<String>,
     /// Entries by the addresses for callers and for peers.
     addresses: BTreeMap<SocketAddr, usize>,
-    /// The two ends of the connection from one process to another.
+    /// State of both ends of the connection from one entry to another.
     links: BTreeMap<(usize, usize), (ConnectionState, ConnectionState)>,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(count: usize, zones: &[&str]) -> Self {
         let now = Time::from_millis(1_800_000_000_000);
         let mut fold = Fold::default();
@@ -105,8 +105,8 @@
             now,
             start: now,
             nodes: (0..count).map(node).collect(),
-            cut: BTreeSet::new(),
-            log: Vec::new(),
+            disconnected: BTreeSet::new(),
+            event_lines: Vec::new(),
             links: BTreeMap::new(),
             fold,
         }
@@ -135,14 +135,14 @@
                     Event::Retire(entry) => format!("retire {}", entry.host),
                 };
                 let seconds = self.now.since(self.start).as_secs();
-                self.log
+                self.event_lines
                     .push(format!("{seconds:2} s: entry-{index}: {line}"));
             }
         }
     }
 
-    /// Starts a confirmation: a request to each other member of the zone.
-    pub(crate) fn ask(&mut self, index: usize) {
+    /// Queues a request for confirmation to each other member of the zone.
+    pub(crate) fn request_confirmations(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let me = sender(index, "none").entry;
         let view = self.fold.view();
@@ -162,7 +162,7 @@
         let index = self.addresses[&address];
         let to = Some(index).filter(|to| {
             let pair = (from.min(*to), from.max(*to));
-            self.nodes[*to].live && !self.cut.contains(&pair)
+            self.nodes[*to].live && !self.disconnected.contains(&pair)
         });
         let now = self.now;
         let node = &mut self.nodes[from];
@@ -173,16 +173,16 @@
             return;
         };
         let (near, far) = self.links.entry((from, to)).or_default();
-        let (report, body) = carry(&report, near, far);
+        let (report, body) = transmit(&report, near, far);
         let mut bytes = request_head(body).len() + body;
         let node = &mut self.nodes[to];
-        node.take(now, &report);
+        node.receive(now, &report);
         let back = node.roster.receive(now, &report).unwrap();
         let answer = node.roster.compose(now, back, &node.status).unwrap();
-        let (answer, body) = carry(&answer, far, near);
+        let (answer, body) = transmit(&answer, far, near);
         bytes += answer_head(body).len() + body;
         let node = &mut self.nodes[from];
-        node.take(now, &answer);
+        node.receive(now, &answer);
         node.roster.record_success(now, key, &answer);
         for index in [from, to] {
             self.nodes[index].bytes += bytes as u64;
@@ -190,8 +190,8 @@
     }
 }
 
-/// Encodes and decodes a report, and returns its size.
-fn carry(
+/// Encodes and decodes a report, and returns it with its encoded size in bytes.
+fn transmit(
     report: &Report,
     near: &mut ConnectionState,
     far: &mut ConnectionState,
@@ -202,7 +202,7 @@
 }
 
 impl Node {
-    fn take(&mut self, now: Time, report: &Report) {
+    fn receive(&mut self, now: Time, report: &Report) {
         for notice in &report.drain_notices {
             self.drain_notices.entry(notice.clone()).or_insert(now);
         }
@@ -238,7 +238,7 @@
     assert!(matches!(effect, Effect::Joined(..)));
 }
 
-/// Pseudo-random numbers by a published linear congruential generator.
+/// Pseudo-random numbers of a published linear congruential generator; the same seed gives the same numbers.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -249,10 +249,10 @@
     }
 }
 
-/// Tags of `count` pools.
+/// Hashes of the names of `count` pools.
 pub(crate) fn pools(count: usize) -> Vec<PoolHash> {
-    let tag = |pool| PoolHash::of(&name(&format!("pool-{pool}")));
-    (0..count).map(tag).collect()
+    let hash = |pool| PoolHash::of(&name(&format!("pool-{pool}")));
+    (0..count).map(hash).collect()
 }
 
 /// Random demand for the pools; a fifth of them are busy and the others nearly idle.
--- a/crates/peer/tests/format.rs
+++ b/crates/peer/tests/format.rs
@@ -1,5 +1,5 @@
-//! Guards the bytes of each kind of message between entries: processes of two versions talk to each other during an
-//! upgrade.
+//! Test of the encoded bytes of each kind of message between entries, since processes of two versions exchange messages
+//! during an upgrade.
 
 mod common;
 
@@ -48,7 +48,7 @@
     handover
 }
 
-/// A field that is renamed, or left out, is ignored or refused by a process of the other version.
+/// Guards against a renamed or missing field, which a process of the other version would ignore or refuse.
 #[test]
 fn each_kind_of_message_keeps_its_bytes() {
     let mut lines = String::new();
@@ -57,7 +57,7 @@
     };
     let mut link = ConnectionState::default();
     for case in ["first report", "later report"] {
-        let report = wire::Report::new(&common::full(0), &mut link);
+        let report = wire::Report::new(&common::full_report(0), &mut link);
         add(case, wire::encode(&report, REPORT_LIMIT).unwrap());
     }
     let state = wire::State::from(&state());
--- a/crates/peer/tests/loopback.rs
+++ b/crates/peer/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Server and client over loopback sockets.
+//! Tests of server and client over loopback sockets.
 
 mod common;
 
@@ -49,7 +49,7 @@
     },
 };
 
-/// Keeps what it received.
+/// Handler that keeps the messages that it received.
 #[derive(Default)]
 struct Recorder {
     reports: RefCell<Vec<Report>>,
@@ -59,7 +59,7 @@
 impl Handler for Recorder {
     async fn report(&self, report: Report) -> Result<Report, Refusal> {
         self.reports.borrow_mut().push(report);
-        Ok(common::plain(1))
+        Ok(common::minimal_report(1))
     }
 
     async fn state(&self, _: KnownState) -> Result<State, Refusal> {
@@ -94,13 +94,13 @@
     (server, address)
 }
 
-/// Removes the port, which differs from run to run.
+/// Returns the text of an error without the address, whose port differs from run to run.
 fn describe(error: &Error, address: SocketAddr) -> String {
     error.to_string().replace(&address.to_string(), "<address>")
 }
 
 /// A peer that reads one request and then answers with `bytes`; it keeps the connection open if `hold`.
-async fn fake(bytes: &'static [u8], hold: bool) -> SocketAddr {
+async fn scripted_peer(bytes: &'static [u8], hold: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(async move {
@@ -115,7 +115,8 @@
     address
 }
 
-/// Guards against several handovers of 64 MiB in memory at once, and against a count that never falls again.
+/// Guards against several handovers of up to 64 MiB in memory at the same time, and against a server that refuses all
+/// handovers after one that broke off.
 #[test]
 fn one_handover_is_received_at_a_time() {
     run(|| async {
@@ -126,7 +127,7 @@
         let mut client = Client::new(address, client::Limit::DEFAULT);
         let handover = common::handover(&[None]);
         let mut results = Vec::new();
-        // The server reads the slow head, and later sees the end of its connection, a few turns of the loop later.
+        // The server needs some turns of its loop to read the slow head, and later to see the end of that connection.
         for expected in [false, true] {
             let mut result = client.hand_over(&handover).await;
             for _ in 0..100 {
@@ -144,25 +145,26 @@
     });
 }
 
-/// Guards against a report that changes on its way, and against an introduction that the server forgets.
+/// Guards against a report that arrives changed, and against a server that no longer knows the sender when a later
+/// report on the same connection omits it.
 #[test]
 fn reports_arrive_whole_on_one_connection() {
     run(|| async {
         let (server, address) = start(server::Limit::DEFAULT).await;
         let mut client = Client::new(address, client::Limit::DEFAULT);
-        let sent = [common::full(0), common::plain(0)];
+        let sent = [common::full_report(0), common::minimal_report(0)];
         for report in &sent {
             let answer = client.report(report).await.unwrap();
-            assert_eq!(answer, common::plain(1));
+            assert_eq!(answer, common::minimal_report(1));
         }
         assert_eq!(*server.handler().reports.borrow(), sent);
         assert_snapshot!(format!("{:?}", server.count()));
     });
 }
 
-/// Guards against state that is not newer, and against a body where 204 is due.
+/// Guards against an answer with state that is not newer, and against an empty state without status 204.
 #[test]
-fn state_is_only_what_is_newer() {
+fn only_newer_state_is_sent() {
     run(|| async {
         let (_server, address) = start(server::Limit::DEFAULT).await;
         let mut client = Client::new(address, client::Limit::DEFAULT);
@@ -184,7 +186,7 @@
     });
 }
 
-/// Guards against a handover that is lost or changed, and against a refusal that looks like success.
+/// Guards against a handover that is lost or changed, and against a refusal that the client takes for success.
 #[test]
 fn handover_arrives_whole_or_is_refused() {
     run(|| async {
@@ -199,7 +201,7 @@
     });
 }
 
-/// Guards against a client that waits without end, accepts a part of an answer, or reads without a bound.
+/// Guards against a client that waits forever, accepts a part of an answer, or reads an answer of any size.
 #[test]
 fn client_names_each_failure() {
     run(|| async {
@@ -232,23 +234,23 @@
         ];
         let mut lines = String::new();
         for (case, bytes, hold) in cases {
-            let address = fake(bytes, hold).await;
+            let address = scripted_peer(bytes, hold).await;
             let limit = if case == "late" { late } else { limit };
             let mut client = Client::new(address, limit);
-            let error = client.report(&common::plain(0)).await.unwrap_err();
+            let error = client.report(&common::minimal_report(0)).await.unwrap_err();
             lines += &format!("{case}: {}\n", describe(&error, address));
         }
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = closed.local_addr().unwrap();
         drop(closed);
         let mut client = Client::new(address, limit);
-        let error = client.report(&common::plain(0)).await.unwrap_err();
+        let error = client.report(&common::minimal_report(0)).await.unwrap_err();
         lines += &format!("closed: {}\n", describe(&error, address));
         assert_snapshot!(lines);
     });
 }
 
-/// Guards against a client that stays broken after its peer was started again.
+/// Guards against a client that can't connect again after its peer was restarted.
 #[test]
 fn client_connects_again_after_a_restart() {
     run(|| async {
@@ -259,13 +261,13 @@
             let server = Server::new(Recorder::default(), server::Limit::DEFAULT);
             server.serve(listener).await;
         });
-        assert!(client.report(&common::plain(0)).await.is_err());
-        let answer = client.report(&common::plain(0)).await.unwrap();
-        assert_eq!(answer, common::plain(1));
+        assert!(client.report(&common::minimal_report(0)).await.is_err());
+        let answer = client.report(&common::minimal_report(0)).await.unwrap();
+        assert_eq!(answer, common::minimal_report(1));
     });
 }
 
-/// Guards against a call that fails because the peer closed the idle connection.
+/// Guards against a call that fails because the peer has closed the idle connection.
 #[test]
 fn client_survives_the_end_of_an_idle_connection() {
     run(|| async {
@@ -275,22 +277,22 @@
         };
         let (server, address) = start(limit).await;
         let mut client = Client::new(address, client::Limit::DEFAULT);
-        client.report(&common::plain(0)).await.unwrap();
+        client.report(&common::minimal_report(0)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(700)).await;
-        client.report(&common::plain(0)).await.unwrap();
+        client.report(&common::minimal_report(0)).await.unwrap();
         assert_eq!(server.count().accepted, 2);
         // The new connection introduces the sender again.
         assert_eq!(server.handler().reports.borrow().len(), 2);
     });
 }
 
-/// Guards against traffic figures that count smaller heads than those on the wire.
+/// Guards against a simulation of the traffic that counts other HTTP heads than those that client and server send.
 #[test]
-fn heads_have_the_counted_size() {
+fn http_heads_have_the_size_of_the_simulation() {
     run(|| async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut client = Client::new(listener.local_addr().unwrap(), client::Limit::DEFAULT);
-        let report = common::plain(0);
+        let report = common::minimal_report(0);
         let accept = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut buffer = vec![0; 4_096];
@@ -301,7 +303,7 @@
         let (_, request) = tokio::join!(client.report(&report), accept);
         let link = &mut ConnectionState::default();
         let body = wire::encode(&wire::Report::new(&report, link), REPORT_LIMIT).unwrap();
-        let mut expected = common::world::request_head(body.len()).into_bytes();
+        let mut expected = common::simulation::request_head(body.len()).into_bytes();
         expected.extend(body);
         assert_eq!(request, expected);
 
@@ -310,15 +312,15 @@
         stream.write_all(&request).await.unwrap();
         let mut answer = vec![0; 4_096];
         let size = stream.read(&mut answer).await.unwrap();
-        let report = wire::Report::new(&common::plain(1), &mut ConnectionState::default());
+        let report = wire::Report::new(&common::minimal_report(1), &mut ConnectionState::default());
         let body = wire::encode(&report, REPORT_LIMIT).unwrap();
-        let mut expected = common::world::answer_head(body.len()).into_bytes();
+        let mut expected = common::simulation::answer_head(body.len()).into_bytes();
         expected.extend(body);
         assert_eq!(answer[..size], expected);
     });
 }
 
-async fn raw(address: SocketAddr, request: &[u8]) -> String {
+async fn send_raw(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     // The server may close before it has read a body that is too large.
     let _ = stream.write_all(request).await;
@@ -327,7 +329,7 @@
     String::from_utf8_lossy(&answer).replace("\r\n", "\n")
 }
 
-/// Guards against a server that accepts what it must refuse, or refuses without naming the remedy.
+/// Guards against a server that accepts a request that it must refuse, or refuses one without naming the remedy.
 #[test]
 fn server_names_each_refusal() {
     run(|| async {
@@ -360,7 +362,7 @@
         ];
         let mut lines = String::new();
         for (case, request) in cases {
-            let answer = raw(address, request.as_bytes()).await;
+            let answer = send_raw(address, request.as_bytes()).await;
             lines += &format!("{case}\n{answer}\n\n");
         }
         lines += &format!("{:?}", server.count());
@@ -368,7 +370,7 @@
     });
 }
 
-/// Guards against connections without a bound, and against connections that stay counted after their end.
+/// Guards against a server without a bound on connections, and against one that counts connections after their end.
 #[test]
 fn connections_are_bounded() {
     run(|| async {
@@ -382,15 +384,15 @@
             .collect();
         let mut lines = String::new();
         for client in &mut clients {
-            let result = client.report(&common::plain(0)).await;
+            let result = client.report(&common::minimal_report(0)).await;
             lines += &format!("answered: {}\n", result.is_ok());
         }
         clients.remove(0);
         let mut ok = false;
-        // The server sees the end of the connection a few turns of the loop later.
+        // The server needs some turns of its loop to see the end of the connection.
         for _ in 0..100 {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            ok = clients[1].report(&common::plain(0)).await.is_ok();
+            ok = clients[1].report(&common::minimal_report(0)).await.is_ok();
             if ok {
                 break;
             }
--- a/crates/peer/tests/roster.rs
+++ b/crates/peer/tests/roster.rs
@@ -1,11 +1,11 @@
-//! Schedules of the roster in virtual time.
+//! Tests of the roster in virtual time: silence and retirement, requests for state, notices and demand.
 
 mod common;
 
-use common::world::{
+use common::simulation::{
     Random,
     STEP,
-    World,
+    Simulation,
     demands,
     join,
     pools, //
@@ -39,7 +39,7 @@
 
 const START: Time = Time::from_millis(1_800_000_000_000);
 const SECOND: Duration = Duration::from_secs(1);
-const SEEDS: u64 = 40;
+const SEED_COUNT: u64 = 40;
 
 fn at(millis: u64) -> Time {
     START + Duration::from_millis(millis)
@@ -53,68 +53,85 @@
     roster
 }
 
-/// A report of another entry with the given offsets.
+/// A report of the entry `index` with the given offsets.
 fn report(index: usize, config_offset: u64, membership_offset: u64) -> Report {
     Report {
         config_offset,
         membership_offset,
-        ..common::plain(index)
+        ..common::minimal_report(index)
     }
 }
 
-/// Guards against losses that stay unnoticed, are noticed twice or never end, and against a second retirement.
+/// Guards against an entry that crashes without being reported lost, is reported lost or retired twice, or is not found
+/// after its restart.
 #[test]
 fn silent_entries_are_lost_then_retired_once_and_found_again() {
-    let mut world = World::new(5, &["suva", "nadi"]);
-    world.run(10 * SECOND);
-    world.nodes[2].live = false;
-    world.run(20 * SECOND);
-    world.nodes[2].live = true;
-    world.run(10 * SECOND);
-    world.log.retain(|line| !line.contains("entry-2: "));
-    assert_snapshot!(world.log.join("\n"));
+    let mut simulation = Simulation::new(5, &["suva", "nadi"]);
+    simulation.run(10 * SECOND);
+    simulation.nodes[2].live = false;
+    simulation.run(20 * SECOND);
+    simulation.nodes[2].live = true;
+    simulation.run(10 * SECOND);
+    simulation
+        .event_lines
+        .retain(|line| !line.contains("entry-2: "));
+    assert_snapshot!(simulation.event_lines.join("\n"));
 }
 
-/// Guards against retirements across zones, and against zones that don't find each other again.
+/// Guards against an entry that retires members of another zone while the network between the zones is down, and
+/// against entries that don't find each other afterwards.
 #[test]
 fn zones_that_are_cut_off_are_lost_but_not_retired() {
-    let mut world = World::new(5, &["suva", "nadi"]);
-    world.run(10 * SECOND);
+    let mut simulation = Simulation::new(5, &["suva", "nadi"]);
+    simulation.run(10 * SECOND);
     for a in 0..5 {
-        world.cut.extend((a + 1..5).step_by(2).map(|b| (a, b)));
+        simulation
+            .disconnected
+            .extend((a + 1..5).step_by(2).map(|b| (a, b)));
     }
-    world.run(20 * SECOND);
-    world.cut.clear();
-    world.run(10 * SECOND);
-    assert_snapshot!(world.log.join("\n"));
+    simulation.run(20 * SECOND);
+    simulation.disconnected.clear();
+    simulation.run(10 * SECOND);
+    assert_snapshot!(simulation.event_lines.join("\n"));
 }
 
-/// Guards against false losses and against missed ones under random crashes and cuts.
+/// Guards against a crash that is noticed too late or not by all entries, and against live entries that are reported
+/// lost. A random entry crashes at a random time.
 #[test]
-fn silence_is_noticed_in_time_over_seeds() {
-    for seed in 1..=SEEDS {
+fn silence_is_noticed_in_time_for_each_seed() {
+    for seed in 1..=SEED_COUNT {
         let mut random = Random(seed);
-        let mut world = World::new(6, &["suva"]);
-        world.run(3 * SECOND);
+        let mut simulation = Simulation::new(6, &["suva"]);
+        simulation.run(3 * SECOND);
         let dead = random.below(6) as usize;
-        world.run(Duration::from_millis(random.below(2_000)));
-        world.nodes[dead].live = false;
-        world.run(Duration::from_millis(7_000));
+        simulation.run(Duration::from_millis(random.below(2_000)));
+        simulation.nodes[dead].live = false;
+        simulation.run(Duration::from_millis(7_000));
         let count = |what: &str| {
             let end = format!(": {what} entry-{dead}");
-            world.log.iter().filter(|line| line.ends_with(&end)).count()
+            simulation
+                .event_lines
+                .iter()
+                .filter(|line| line.ends_with(&end))
+                .count()
         };
         assert_eq!(
             (count("lost"), count("retire")),
             (5, 5),
             "seed {seed}: {:?}",
-            world.log
+            simulation.event_lines
+        );
+        assert_eq!(
+            simulation.event_lines.len(),
+            10,
+            "seed {seed}: {:?}",
+            simulation.event_lines
         );
-        assert_eq!(world.log.len(), 10, "seed {seed}: {:?}", world.log);
     }
 }
 
-/// Guards against a process that wakes up after a pause and has every other member retired.
+/// Guards against a process that retires every other member when it resumes after a pause, because it counts its own
+/// pause as their silence.
 #[test]
 fn a_paused_process_retires_nobody() {
     let mut roster = roster(4);
@@ -134,7 +151,7 @@
     assert_eq!(later, 3, "members that stay silent after the pause");
 }
 
-/// Guards against a retirement that is announced before its time again, or never again, after a failed append.
+/// Guards against a retirement that is returned too soon again, or never again, after its record could not be appended.
 #[test]
 fn a_retirement_that_was_not_appended_is_announced_again() {
     let mut roster = roster(2);
@@ -152,7 +169,8 @@
     assert_snapshot!(lines);
 }
 
-/// Guards against processes that send at the same moment, and against exchanges of a pair in both directions.
+/// Guards against entries that all send at the same moment, and against pairs in which both entries begin exchanges,
+/// which would double the traffic.
 #[test]
 fn reports_are_spread_and_each_pair_exchanges_once_a_second() {
     let mut moments = std::collections::BTreeSet::new();
@@ -167,15 +185,15 @@
         moments.len() >= 8,
         "first reports in {moments:?} of 20 intervals of 50 ms"
     );
-    let mut world = World::new(8, &["suva"]);
-    world.run(20 * SECOND);
-    let before: u64 = world
+    let mut simulation = Simulation::new(8, &["suva"]);
+    simulation.run(20 * SECOND);
+    let before: u64 = simulation
         .nodes
         .iter()
         .map(|node| node.roster.count().exchanged)
         .sum();
-    world.run(20 * SECOND);
-    let after: u64 = world
+    simulation.run(20 * SECOND);
+    let after: u64 = simulation
         .nodes
         .iter()
         .map(|node| node.roster.count().exchanged)
@@ -184,7 +202,7 @@
     assert_eq!(after - before, 20 * 28 * 2);
 }
 
-/// Guards against a request for state that is older than what this process has, and against requests in a row.
+/// Guards against requests to a peer whose state is not newer, and against requests in quick succession.
 #[test]
 fn only_newer_state_is_asked_for() {
     let mut roster = roster(4);
@@ -206,7 +224,7 @@
             "{config} {member}"
         );
     }
-    // A process that has nothing asks at once, and the one that is furthest ahead.
+    // A process without state asks at once, and asks the peer with the highest offsets.
     let key = roster.choose_state_source(now, have(0, 0));
     assert_eq!(
         roster.peer(key.unwrap()).unwrap().entry(),
@@ -234,26 +252,26 @@
     );
 }
 
-/// Guards against confirmations that take longer than the lease allows.
+/// Guards against confirmations by peers that take longer than the lease allows.
 #[test]
 fn confirmations_are_answered_within_two_report_intervals() {
     for seed in 1..=8 {
         let mut random = Random(seed);
-        let mut world = World::new(8, &["suva"]);
-        world.run(Duration::from_millis(3_000 + random.below(2_000)));
-        (0..8).for_each(|index| world.ask(index));
-        let start = world.now;
-        world.run(2 * REPORT_INTERVAL + STEP);
-        for (index, node) in world.nodes.iter().enumerate() {
+        let mut simulation = Simulation::new(8, &["suva"]);
+        simulation.run(Duration::from_millis(3_000 + random.below(2_000)));
+        (0..8).for_each(|index| simulation.request_confirmations(index));
+        let start = simulation.now;
+        simulation.run(2 * REPORT_INTERVAL + STEP);
+        for (index, node) in simulation.nodes.iter().enumerate() {
             let answered = node.confirmed.values().filter(|(_, begun)| *begun == start);
             assert_eq!(answered.count(), 7, "seed {seed}, entry-{index}");
         }
     }
 }
 
-/// Guards against signs that travel too long, too short or without a bound.
+/// Guards against drain notices that are sent for too long or not long enough, and against a list without a bound.
 #[test]
-fn signs_are_repeated_for_ten_seconds_and_bounded() {
+fn drain_notices_are_repeated_for_ten_seconds_and_bounded() {
     let mut roster = roster(2);
     let key = roster.find(&common::entry(1)).unwrap();
     let notice = |index: usize| DrainNotice {
@@ -286,30 +304,30 @@
     assert_eq!(roster.count().dropped_drain_notices, 5);
 }
 
-/// Guards against demand that a peer never learns, also after lost exchanges and a restart of the demand.
+/// Guards against demand that never reaches a peer after failed exchanges or after the set of pools has changed.
 #[test]
 fn demand_arrives_in_spite_of_failures() {
-    let mut world = World::new(3, &["suva"]);
+    let mut simulation = Simulation::new(3, &["suva"]);
     let mut random = Random(5);
-    let tags = pools(199);
+    let pool_hashes = pools(199);
     for round in 0..4 {
-        let demand = demands(&mut random, &tags[round * 20..]);
+        let demand = demands(&mut random, &pool_hashes[round * 20..]);
         for second in 0..10 {
             if second == 2 {
-                world.cut.insert((0, 1));
+                simulation.disconnected.insert((0, 1));
             }
             if second == 5 {
-                world.cut.clear();
+                simulation.disconnected.clear();
             }
-            world.nodes[0].roster.publish(demand.iter().copied());
-            world.run(SECOND);
+            simulation.nodes[0].roster.publish(demand.iter().copied());
+            simulation.run(SECOND);
         }
     }
-    // After a failure all 139 pools are sent again, 28 in each report besides a repeat.
-    world.run(30 * SECOND);
-    assert_eq!(world.nodes[0].roster.published().count(), 199 - 3 * 20);
-    let expected: Vec<Demand> = world.nodes[0].roster.published().copied().collect();
-    for node in &world.nodes[1..] {
+    // After a failure, all 139 pools are sent again: each report has room for 28 and one repeated value.
+    simulation.run(30 * SECOND);
+    assert_eq!(simulation.nodes[0].roster.published().count(), 199 - 3 * 20);
+    let expected: Vec<Demand> = simulation.nodes[0].roster.published().copied().collect();
+    for node in &simulation.nodes[1..] {
         let key = node.roster.find(&common::entry(0)).unwrap();
         let seen: Vec<Demand> = node.roster.peer(key).unwrap().demands().copied().collect();
         assert!(
@@ -321,28 +339,33 @@
     }
 }
 
-/// Guards against a pool that keeps its last demand at the peers after all demand has ended.
+/// Guards against peers that keep the last demand of a pool after all demand has ended.
 #[test]
 fn the_end_of_all_demand_arrives() {
-    let mut world = World::new(2, &["suva"]);
+    let mut simulation = Simulation::new(2, &["suva"]);
     let demands: Vec<Demand> = (0..3)
         .map(|pool| common::demand(&format!("pool-{pool}"), 1_000, 0))
         .collect();
     for count in [3, 3, 3, 1, 0, 0, 0] {
-        world.nodes[0]
+        simulation.nodes[0]
             .roster
             .publish(demands[..count].iter().copied());
-        world.run(2 * SECOND);
+        simulation.run(2 * SECOND);
     }
-    let key = world.nodes[1].roster.find(&common::entry(0)).unwrap();
+    let key = simulation.nodes[1].roster.find(&common::entry(0)).unwrap();
     assert_eq!(
-        world.nodes[1].roster.peer(key).unwrap().demands().count(),
+        simulation.nodes[1]
+            .roster
+            .peer(key)
+            .unwrap()
+            .demands()
+            .count(),
         0
     );
 }
 
-/// Guards against a seed that stays unknown or is counted twice, and against an earlier process at the same address
-/// that is never retired.
+/// Guards against a seed that is not recognised as a member or becomes two peers, and against an earlier incarnation
+/// that is never retired because its successor answers at the same address.
 #[test]
 fn seeds_and_restarted_entries_become_the_right_peers() {
     let seed = common::sender(1, "suva").peers;
@@ -377,17 +400,17 @@
     assert_snapshot!(lines);
 }
 
-/// Guards against a roster without a bound, and against an exchange with itself.
+/// Guards against a roster that grows without a bound, and against a process that becomes its own peer.
 #[test]
 fn peers_are_bounded_and_never_the_process_itself() {
     let mut roster = roster(PEER_LIMIT + 10);
     assert_eq!(roster.peers().count(), PEER_LIMIT);
     assert_eq!(roster.count().ignored_peers, 9);
-    assert_eq!(roster.receive(at(0), &common::plain(0)), None);
+    assert_eq!(roster.receive(at(0), &common::minimal_report(0)), None);
     assert_eq!(roster.receive(at(0), &report(PEER_LIMIT + 50, 1, 1)), None);
 }
 
-/// Guards against a change of the plan that goes unnoticed.
+/// Guards against an unintended change of the report intervals and of the number of pools in a report.
 #[test]
 fn plans_follow_the_number_of_peers() {
     let mut lines = String::new();
--- a/crates/peer/tests/traffic.rs
+++ b/crates/peer/tests/traffic.rs
@@ -1,10 +1,10 @@
-//! Bytes that control traffic takes.
+//! Bytes that the traffic between entries takes.
 
 mod common;
 
-use common::world::{
+use common::simulation::{
     Random,
-    World,
+    Simulation,
     demands,
     pools, //
 };
@@ -24,51 +24,57 @@
     },
 };
 
-/// Bytes a second, sent and received, that a process may spend on control; section 1.4 of the design page.
-const BOUND: u64 = 2_048;
-/// Length of a run in seconds; it covers the start and three exchanges with each entry of another zone.
-const SECONDS: u64 = 60;
-/// Time between two confirmations by peers while the log is down, in seconds; the lease is 5 s.
-const CONFIRMATION: u64 = 2;
+/// Bytes a second, sent and received, that a process may spend on control; see section 1.4 of the design page.
+const TARGET_BYTES_PER_SECOND: u64 = 2_048;
+/// Virtual time of a run, which covers the start and three exchanges with each entry of another zone; in seconds.
+const RUN_SECONDS: u64 = 60;
+/// Time between two confirmations by peers while the log is down; the lease is 5 s.
+const CONFIRMATION_INTERVAL_SECONDS: u64 = 2;
 const SEED: u64 = 11;
-const SIZES: [(usize, &[&str]); 3] = [
+/// Number of entries, and the availability zones among which they are divided.
+const DEPLOYMENTS: [(usize, &[&str]); 3] = [
     (8, &["suva", "lautoka", "nadi"]),
     (16, &["nicoya", "cruz", "liberia", "filadelfia"]),
     (32, &["nicoya", "cruz", "liberia", "filadelfia"]),
 ];
 
-/// Runs all entries with demand that changes in each pool in each second, and returns the most bytes a second of any
-/// process.
-fn measure(entries: usize, zones: &[&str], count: usize, outage: bool) -> u64 {
-    let mut world = World::new(entries, zones);
+/// Runs all entries with demand that changes in each pool in each second, and returns the bytes a second of the entry
+/// with the most traffic.
+fn peak_bytes_per_second(entries: usize, zones: &[&str], count: usize, outage: bool) -> u64 {
+    let mut simulation = Simulation::new(entries, zones);
     let mut random = Random(SEED);
     let pools = pools(count);
-    for second in 0..SECONDS {
-        for node in &mut world.nodes {
+    for second in 0..RUN_SECONDS {
+        for node in &mut simulation.nodes {
             node.roster.publish(demands(&mut random, &pools));
             node.status.config_offset = 1_000_000 + second;
             node.status.membership_offset = 100_000;
             node.status.revision = 99_000;
         }
-        if outage && second % CONFIRMATION == 0 {
-            (0..entries).for_each(|index| world.ask(index));
+        if outage && second % CONFIRMATION_INTERVAL_SECONDS == 0 {
+            (0..entries).for_each(|index| simulation.request_confirmations(index));
         }
-        world.run(Duration::from_secs(1));
+        simulation.run(Duration::from_secs(1));
     }
-    let most = world.nodes.iter().map(|node| node.bytes).max().unwrap();
-    most / SECONDS
+    let most = simulation
+        .nodes
+        .iter()
+        .map(|node| node.bytes)
+        .max()
+        .unwrap();
+    most / RUN_SECONDS
 }
 
-/// Guards against control traffic above the target of 2,048 bytes a second for each process, of which reading the
-/// platform takes a part.
+/// Guards against traffic between entries that, with the reads of log and host list, exceeds the target of 2,048 bytes
+/// a second for each process.
 #[test]
 fn traffic_stays_below_the_target() {
     let mut table = String::from("entries pools bytes/s\n");
-    for (entries, zones) in SIZES {
+    for (entries, zones) in DEPLOYMENTS {
         for pools in [5, 50, 199] {
-            let bytes = measure(entries, zones, pools, false);
+            let bytes = peak_bytes_per_second(entries, zones, pools, false);
             assert!(
-                bytes <= BOUND - PLATFORM_BYTES_PER_SECOND,
+                bytes <= TARGET_BYTES_PER_SECOND - PLATFORM_BYTES_PER_SECOND,
                 "{entries} entries, {pools} pools, seed {SEED}: {bytes}"
             );
             writeln!(table, "{entries:7} {pools:5} {bytes:7}").unwrap();
@@ -77,29 +83,32 @@
     assert_snapshot!(table);
 }
 
-/// Guards against confirmations by peers that exceed the target while the log is down.
+/// Guards against traffic that exceeds the target because peers confirm the view while the log is down.
 #[test]
 fn traffic_stays_below_the_target_during_an_outage() {
     let mut table = String::from("entries pools bytes/s\n");
-    for (entries, zones) in SIZES {
-        let bytes = measure(entries, zones, 199, true);
-        assert!(bytes <= BOUND, "{entries} entries, seed {SEED}: {bytes}");
+    for (entries, zones) in DEPLOYMENTS {
+        let bytes = peak_bytes_per_second(entries, zones, 199, true);
+        assert!(
+            bytes <= TARGET_BYTES_PER_SECOND,
+            "{entries} entries, seed {SEED}: {bytes}"
+        );
         writeln!(table, "{entries:7}   199 {bytes:7}").unwrap();
     }
     assert_snapshot!(table);
 }
 
-/// Guards against a burst that waits behind the small changes of 198 other pools.
+/// Guards against a burst of demand for one pool that is reported late, behind the small changes of 198 other pools.
 #[test]
 fn a_burst_arrives_within_three_seconds() {
-    let (entries, zones) = SIZES[2];
-    let mut world = World::new(entries, zones);
+    let (entries, zones) = DEPLOYMENTS[2];
+    let mut simulation = Simulation::new(entries, zones);
     let mut random = Random(SEED);
     let pools = pools(199);
     let burst = pools[77];
     let mut arrived = Vec::new();
     for second in 0..114 {
-        for node in &mut world.nodes {
+        for node in &mut simulation.nodes {
             let noise = pools.iter().map(|pool| {
                 let high = *pool == burst && second >= 110;
                 let millislots = (900 + random.below(200)) * if high { 10 } else { 1 };
@@ -111,9 +120,9 @@
             });
             node.roster.publish(noise);
         }
-        world.run(Duration::from_secs(1));
+        simulation.run(Duration::from_secs(1));
         let sees = |index: &usize| {
-            let node = &world.nodes[*index];
+            let node = &simulation.nodes[*index];
             let peer = node.roster.find(&common::entry(0)).unwrap();
             let mut demands = node.roster.peer(peer).unwrap().demands();
             demands.any(|demand| demand.pool == burst && demand.millislots > 5_000)
@@ -134,30 +143,30 @@
     assert_snapshot!(format!("{arrived:?}"));
 }
 
-/// Guards against a drain sign that reaches an entry too late, and states what a sign costs.
+/// Guards against a drain notice that reaches an entry too late or takes more bytes than the snapshot says.
 #[test]
-fn drain_signs_arrive_within_three_seconds() {
+fn drain_notices_arrive_within_three_seconds() {
     let mut table = String::from("entries latest_ms bytes\n");
-    for (entries, zones) in SIZES {
+    for (entries, zones) in DEPLOYMENTS {
         let run = |drain_notices: bool| {
-            let mut world = World::new(entries, zones);
-            world.run(Duration::from_secs(20));
+            let mut simulation = Simulation::new(entries, zones);
+            simulation.run(Duration::from_secs(20));
             let notice = DrainNotice {
                 host: common::name("runner-77"),
                 incarnation: 3,
             };
-            let start = world.now;
+            let start = simulation.now;
             // All entries of the first zone read the same host list.
             for index in (0..entries).step_by(zones.len()).filter(|_| drain_notices) {
-                world.nodes[index]
+                simulation.nodes[index]
                     .roster
                     .announce_drain(start, notice.clone());
-                world.nodes[index]
+                simulation.nodes[index]
                     .drain_notices
                     .insert(notice.clone(), start);
             }
-            world.run(Duration::from_secs(30));
-            let late = world
+            simulation.run(Duration::from_secs(30));
+            let late = simulation
                 .nodes
                 .iter()
                 .map(|node| match node.drain_notices.get(&notice) {
@@ -167,7 +176,12 @@
             let latest = late.max().unwrap();
             (
                 latest,
-                world.nodes.iter().map(|node| node.bytes).max().unwrap(),
+                simulation
+                    .nodes
+                    .iter()
+                    .map(|node| node.bytes)
+                    .max()
+                    .unwrap(),
             )
         };
         let (latest, with) = run(true);
--- a/crates/peer/tests/wire.rs
+++ b/crates/peer/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Serialised messages: round trips, malformed and oversized ones, and version skew.
+//! Tests of serialised messages: round trips, malformed and oversized messages, and other versions.
 
 mod common;
 
@@ -35,41 +35,41 @@
     json, //
 };
 
-/// Seed of the random cases; failures print the case itself.
+/// Seed of the random cases; a failure also prints the case itself.
 const SEED: u64 = 23;
 
-/// A report by hand.
-fn raw() -> Value {
+/// A report as JSON, without the types under test.
+fn json_report() -> Value {
     let sender = json!({
         "h": "entry-1", "i": 5, "z": "suva", "a": "10.0.0.1:80", "p": "10.0.0.1:81", "t": 9,
     });
     json!({"v": 1, "f": sender, "n": 1, "t": 0, "c": 0, "m": 0, "r": 0})
 }
 
-fn read(body: &[u8]) -> Result<Report, Error> {
+fn decode_report(body: &[u8]) -> Result<Report, Error> {
     let report: wire::Report = wire::decode(body, REPORT_LIMIT)?;
     report.check(&mut ConnectionState::default())
 }
 
-/// Reads the report by hand with one field changed or added.
-fn change(path: &str, value: Value) -> Result<Report, Error> {
-    let mut report = raw();
+/// Decodes the report of [`json_report`] with one field changed or added.
+fn decode_with(path: &str, value: Value) -> Result<Report, Error> {
+    let mut report = json_report();
     match path.split_once('.') {
         Some((object, field)) => report[object][field] = value,
         None => report[path] = value,
     }
-    read(&rmp_serde::to_vec_named(&report).unwrap())
+    decode_report(&rmp_serde::to_vec_named(&report).unwrap())
 }
 
-/// Reads the report by hand with the given bytes as demand.
-fn demand(bytes: &[u8]) -> Result<Report, Error> {
-    let mut body = rmp_serde::to_vec_named(&raw()).unwrap();
+/// Decodes the report of [`json_report`] with the given bytes as demand.
+fn decode_with_demand(bytes: &[u8]) -> Result<Report, Error> {
+    let mut body = rmp_serde::to_vec_named(&json_report()).unwrap();
     // One more field in the map, its name, and a value of the type `bin 16`.
     body[0] += 1;
     body.extend([0xa1, b'd', 0xc5]);
     body.extend((bytes.len() as u16).to_be_bytes());
     body.extend(bytes);
-    read(&body)
+    decode_report(&body)
 }
 
 fn entries() -> impl Strategy<Value = Entry> {
@@ -80,8 +80,8 @@
 }
 
 fn levels() -> impl Strategy<Value = Demand> {
-    (any::<u32>(), any::<u8>(), any::<u8>()).prop_map(|(tag, a, b)| Demand {
-        pool: PoolHash(tag),
+    (any::<u32>(), any::<u8>(), any::<u8>()).prop_map(|(hash, a, b)| Demand {
+        pool: PoolHash(hash),
         millislots: Level(a.max(b)).value(),
         spill_millislots: Level(a.min(b)).value(),
     })
@@ -101,7 +101,10 @@
         let [sequence, config_offset, membership_offset, revision, first, second, start, fence] = numbers;
         let [resend_demand, joining, agrees, extra] = flags;
         let start = Time::from_micros(start);
-        let mut report = Report { sequence, config_offset, membership_offset, revision, resend_demand, joining, demands, ..common::plain(0) };
+        let mut report = Report {
+            sequence, config_offset, membership_offset, revision, resend_demand, joining, demands,
+            ..common::minimal_report(0)
+        };
         report.now = Time::from_millis(millis);
         report.sender.callers.set_port(ports.0);
         report.sender.peers.set_port(ports.1);
@@ -118,7 +121,7 @@
     }
 }
 
-/// Runs a property over the same cases each time.
+/// Checks a property with cases that are the same in each run.
 fn check<S: Strategy>(
     strategy: S,
     cases: u32,
@@ -134,10 +137,10 @@
     result.unwrap_or_else(|error| panic!("seed {SEED}: {error}"));
 }
 
-/// Guards against fields that are lost or changed, also when the introduction is left out, and against a largest
-/// report that doesn't fit its limit.
+/// Guards against fields that are lost or changed, also in a later report that omits its sender, and against valid
+/// reports that exceed the size limit.
 #[test]
-fn reports_survive_the_trip() {
+fn reports_survive_encoding_and_decoding() {
     check((reports(), 0..(1_u64 << 50)), 128, |(report, later)| {
         let (near, far) = (
             &mut ConnectionState::default(),
@@ -157,14 +160,14 @@
     });
 }
 
-/// Guards against a handover that changes an outcome on its way.
+/// Guards against encoding and decoding that changes an outcome in a handover.
 #[test]
-fn handovers_survive_the_trip() {
+fn handovers_survive_encoding_and_decoding() {
     let body = prop::option::of(prop::collection::vec(any::<u8>(), 0..300));
-    let fates = prop::collection::vec((0..3_u8, any::<u128>(), body), 0..20);
-    check(fates, 128, |fates| {
-        let mut handover = common::handover(&vec![None; fates.len()]);
-        for (item, (kind, bits, body)) in handover.items.iter_mut().zip(fates) {
+    let outcomes = prop::collection::vec((0..3_u8, any::<u128>(), body), 0..20);
+    check(outcomes, 128, |outcomes| {
+        let mut handover = common::handover(&vec![None; outcomes.len()]);
+        for (item, (kind, bits, body)) in handover.items.iter_mut().zip(outcomes) {
             item.id = sassafrascrank_claim::key::Id::from_bits(bits);
             item.state = match kind {
                 0 => RequestState::Lost,
@@ -183,9 +186,9 @@
     });
 }
 
-/// Guards against state that is lost or changed.
+/// Guards against encoding and decoding that loses or changes a part of a state.
 #[test]
-fn states_survive_the_trip() {
+fn states_survive_encoding_and_decoding() {
     for state in [
         message::State::default(),
         message::State {
@@ -200,7 +203,7 @@
     }
 }
 
-/// Guards against a panic or an endless read on any bytes, and on valid reports with one changed byte.
+/// Guards against a panic or an endless loop while decoding arbitrary bytes, or valid reports with one changed bit.
 #[test]
 fn arbitrary_bytes_are_refused_or_read() {
     check(prop::collection::vec(any::<u8>(), 0..200), 2_000, |bytes| {
@@ -210,7 +213,7 @@
             wire::decode::<wire::Handover>(&bytes, HANDOVER_LIMIT).map(message::Handover::try_from);
         Ok(())
     });
-    let report = wire::Report::new(&common::full(0), &mut ConnectionState::default());
+    let report = wire::Report::new(&common::full_report(0), &mut ConnectionState::default());
     let body = wire::encode(&report, REPORT_LIMIT).unwrap();
     for index in 0..body.len() {
         for bit in 0..8 {
@@ -222,27 +225,27 @@
     }
 }
 
-/// Guards against errors that don't say what to change.
+/// Guards against errors that don't say which field to change and how.
 #[test]
 fn errors_name_field_value_and_remedy() {
-    let notice = |host: &str, count: usize| json!(vec![(host, 1); count]);
+    let notices = |host: &str, count: usize| json!(vec![(host, 1); count]);
     let results = [
-        change("f", Value::Null),
-        change("f.h", json!("Entry 1")),
-        change("f.z", json!("")),
-        change("f.a", json!("10.0.0.1")),
-        change("f.p", json!("x".repeat(500))),
-        demand(&[0; 7]),
-        demand(&[0; 6 * 257]),
-        demand(&[0, 0, 0, 1, 4, 5]),
-        change("s", notice("h", 129)),
-        change("s", notice("H", 1)),
-        change("s", notice(&"h".repeat(200), 100)),
-        change("l", json!({"s": 1})),
-        change("w", json!({"e": ["", 1], "f": 1})),
-        change("n", json!("one")),
-        read(b"text"),
-        read(b""),
+        decode_with("f", Value::Null),
+        decode_with("f.h", json!("Entry 1")),
+        decode_with("f.z", json!("")),
+        decode_with("f.a", json!("10.0.0.1")),
+        decode_with("f.p", json!("x".repeat(500))),
+        decode_with_demand(&[0; 7]),
+        decode_with_demand(&[0; 6 * 257]),
+        decode_with_demand(&[0, 0, 0, 1, 4, 5]),
+        decode_with("s", notices("h", 129)),
+        decode_with("s", notices("H", 1)),
+        decode_with("s", notices(&"h".repeat(200), 100)),
+        decode_with("l", json!({"s": 1})),
+        decode_with("w", json!({"e": ["", 1], "f": 1})),
+        decode_with("n", json!("one")),
+        decode_report(b"text"),
+        decode_report(b""),
     ];
     let errors = results.map(Result::unwrap_err);
     let mut lines = String::new();
@@ -252,28 +255,28 @@
     assert_snapshot!(lines);
 }
 
-/// Guards against a handover or a state that is accepted although a part of it doesn't fit.
+/// Guards against a handover or a state that is accepted although a part of it is malformed.
 #[test]
-fn malformed_parts_refuse_the_whole_message() {
+fn messages_with_malformed_parts_are_refused() {
     let mut lines = String::new();
-    let mut note = |error: Error| writeln!(lines, "{error}").unwrap();
-    let mut send = |stored: StoredAnswer| {
+    let mut add_error = |error: Error| writeln!(lines, "{error}").unwrap();
+    let mut refuse = |stored: StoredAnswer| {
         let mut handover = common::handover(&[None]);
         handover.items[0].state = RequestState::Answered(stored);
         let body = wire::encode(&wire::Handover::from(&handover), HANDOVER_LIMIT).unwrap();
         let wire: wire::Handover = wire::decode(&body, HANDOVER_LIMIT).unwrap();
-        note(message::Handover::try_from(wire).unwrap_err());
+        add_error(message::Handover::try_from(wire).unwrap_err());
     };
     let stored = |status, name: &str, value: &'static [u8]| StoredAnswer {
         status,
         headers: vec![(name.to_owned(), value.into())],
         body: None,
     };
-    send(stored(99, "a", b""));
-    send(stored(200, "A", b""));
-    send(stored(200, "a b", b""));
-    send(stored(200, "a", b"x\r\ny"));
-    send(StoredAnswer {
+    refuse(stored(99, "a", b""));
+    refuse(stored(200, "A", b""));
+    refuse(stored(200, "a b", b""));
+    refuse(stored(200, "a", b"x\r\ny"));
+    refuse(StoredAnswer {
         headers: vec![("a".to_owned(), "".into()); 129],
         ..stored(200, "a", b"")
     });
@@ -283,7 +286,7 @@
         member: None,
         hosts: None,
     };
-    note(message::State::try_from(wire::State::from(&state)).unwrap_err());
+    add_error(message::State::try_from(wire::State::from(&state)).unwrap_err());
     let mut view = common::view(2, &["suva"]);
     view.offset = 1;
     let state = message::State {
@@ -291,23 +294,23 @@
         member: Some(view),
         hosts: None,
     };
-    note(message::State::try_from(wire::State::from(&state)).unwrap_err());
+    add_error(message::State::try_from(wire::State::from(&state)).unwrap_err());
     let large = common::handover(&[Some(HANDOVER_LIMIT)]);
-    note(wire::encode(&wire::Handover::from(&large), HANDOVER_LIMIT).unwrap_err());
+    add_error(wire::encode(&wire::Handover::from(&large), HANDOVER_LIMIT).unwrap_err());
     assert_snapshot!(lines);
 }
 
-/// Guards against a rolling upgrade in which two versions can't talk, or in which an old process misreads a new
-/// message.
+/// Guards against a rolling upgrade in which an old process refuses a message with an additional field, or misreads a
+/// message of a higher version.
 #[test]
-fn versions_live_side_by_side() {
-    let plain = read(&rmp_serde::to_vec_named(&raw()).unwrap()).unwrap();
+fn other_versions_are_read_or_refused() {
+    let plain = decode_report(&rmp_serde::to_vec_named(&json_report()).unwrap()).unwrap();
     assert_eq!(plain.demands, []);
-    assert_eq!(change("unknown", json!(["x", {"y": 1}])), Ok(plain));
+    assert_eq!(decode_with("unknown", json!(["x", {"y": 1}])), Ok(plain));
     let mut lines = String::new();
     for v in [0, 2, 700] {
         let other = json!({"v": v, "another": "form"});
-        let error = read(&rmp_serde::to_vec_named(&other).unwrap()).unwrap_err();
+        let error = decode_report(&rmp_serde::to_vec_named(&other).unwrap()).unwrap_err();
         writeln!(lines, "{error}").unwrap();
     }
     assert_snapshot!(lines);
@@ -333,9 +336,9 @@
     assert_eq!(Level::of(1), Level(1));
 }
 
-/// Guards against messages that grow unnoticed.
+/// Guards against an unintended change of the size of messages.
 #[test]
-fn sizes_are_known() {
+fn encoded_sizes_are_stable() {
     let (near, far) = (
         &mut ConnectionState::default(),
         &mut ConnectionState::default(),
@@ -346,23 +349,23 @@
         writeln!(lines, "{case}: {}", body.len()).unwrap();
         body
     };
-    let first = size("first report", &common::plain(0), near);
+    let first = size("first report", &common::minimal_report(0), near);
     let wire: wire::Report = wire::decode(&first, REPORT_LIMIT).unwrap();
     wire.check(far).unwrap();
-    size("later report", &common::plain(0), near);
+    size("later report", &common::minimal_report(0), near);
     let late = Report {
         now: Time::from_millis(1_800_000_000_000 + 3_600_000),
         sequence: 100_000,
         config_offset: 1_000_000,
         membership_offset: 100_000,
         revision: 100_000,
-        ..common::plain(0)
+        ..common::minimal_report(0)
     };
     size("report with large numbers", &late, near);
-    let mut demands = common::plain(0);
+    let mut demands = common::minimal_report(0);
     demands.demands = vec![common::demand("quoting", 1_000, 0); 199];
     size("199 pools", &demands, near);
-    size("every field", &common::full(0), near);
+    size("every field", &common::full_report(0), near);
     let zones = ["nicoya", "cruz", "liberia", "filadelfia"];
     let state = message::State {
         config: None,
