--- a/crates/peer/src/message/demand.rs
+++ b/crates/peer/src/message/demand.rs
@@ -3,9 +3,9 @@
 use super::PoolHash;
 
 /// Smallest demand above 0 that a level can express, in thousandths of a slot.
-const UNIT: u64 = 125;
+const MIN_MILLISLOTS: u64 = 125;
 /// Eight steps between 1 and 2, in 1,024ths.
-const STEPS: [u64; 8] = [1_024, 1_117, 1_218, 1_328, 1_448, 1_579, 1_722, 1_878];
+const STEP_FACTORS: [u64; 8] = [1_024, 1_117, 1_218, 1_328, 1_448, 1_579, 1_722, 1_878];
 
 /// Demand for one pool, in thousandths of a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -65,6 +65,7 @@
             return 0;
         }
         let step = (self.0 - 1) as usize;
-        ((UNIT * STEPS[step % STEPS.len()]) << (step / STEPS.len())) >> 10
+        ((MIN_MILLISLOTS * STEP_FACTORS[step % STEP_FACTORS.len()]) << (step / STEP_FACTORS.len()))
+            >> 10
     }
 }
--- a/crates/peer/src/roster/demand.rs
+++ b/crates/peer/src/roster/demand.rs
@@ -17,7 +17,7 @@
 /// Most pools for which the last sent value is kept; beyond it, pools without demand are removed.
 const SENT_POOL_LIMIT: usize = 2 * DEMAND_LIMIT;
 
-/// Last demand that was sent to one peer, from which the changes to send next follow.
+/// Demand that was last sent to one peer; the next report contains what differs from it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SentDemand {
     /// Last value sent, or `None` if it may not have arrived.
--- a/crates/peer/src/roster/drain_notice.rs
+++ b/crates/peer/src/roster/drain_notice.rs
@@ -18,7 +18,7 @@
 struct Pending {
     notice: DrainNotice,
     since: Time,
-    /// Whether this process found out itself; only such notices are sent.
+    /// Whether it originates at this process; only such notices are sent.
     own: bool,
     /// Whether reports become due for it, since no peer is known to send it to all others.
     urgent: bool,
--- a/crates/peer/src/roster/roster.rs
+++ b/crates/peer/src/roster/roster.rs
@@ -370,7 +370,7 @@
         peer.own_zone = *zone == self.local.zone;
     }
 
-    /// Adds a peer unless there are too many.
+    /// Adds a peer, or counts it as ignored if there are too many.
     pub(super) fn insert(&mut self, peer: Peer) -> Option<Key> {
         if self.peers.len() >= PEER_LIMIT {
             self.count.ignored_peers += 1;
@@ -379,6 +379,7 @@
         Some(self.peers.insert(peer))
     }
 
+    /// Makes the plan for the present number of peers.
     pub(super) fn replan(&mut self) {
         let own = self.peers.values().filter(|peer| peer.own_zone).count();
         self.plan = Plan::new(own, self.peers.len() - own);
