--- a/crates/peer/src/server/session.rs
+++ b/crates/peer/src/server/session.rs
@@ -1,4 +1,4 @@
-//! Requests of one connection.
+//! Handling of the requests on one connection.
 
 use super::{
     Handler,
@@ -12,12 +12,12 @@
 use crate::{
     message::{
         self,
-        After, //
+        KnownState, //
     },
     wire::{
         self,
+        ConnectionState,
         HANDOVER_LIMIT,
-        Link,
         REPORT_LIMIT,
         STATE_LIMIT, //
     },
@@ -40,17 +40,17 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// One connection.
+/// State of one connection.
 pub(super) struct Session<H> {
     shared: Rc<Shared<H>>,
-    link: RefCell<Link>,
+    connection: RefCell<ConnectionState>,
 }
 
 impl<H: Handler> Session<H> {
     pub(super) fn new(shared: Rc<Shared<H>>) -> Self {
         Self {
             shared,
-            link: RefCell::default(),
+            connection: RefCell::default(),
         }
     }
 
@@ -65,11 +65,11 @@
         };
         match result {
             Ok(response) => {
-                self.shared.bump(|count| count.answered += 1);
+                self.shared.update_count(|count| count.answered += 1);
                 response
             }
             Err(failure) => {
-                self.shared.bump(|count| count.refused += 1);
+                self.shared.update_count(|count| count.refused += 1);
                 reply::failure(failure)
             }
         }
@@ -90,16 +90,16 @@
     async fn report(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
         let body = read(request, REPORT_LIMIT).await?;
         let report: wire::Report = wire::decode(&body, REPORT_LIMIT)?;
-        let report = report.check(&mut self.link.borrow_mut())?;
+        let report = report.check(&mut self.connection.borrow_mut())?;
         let answer = self.shared.handler.report(report).await?;
-        let answer = wire::Report::new(&answer, &mut self.link.borrow_mut());
+        let answer = wire::Report::new(&answer, &mut self.connection.borrow_mut());
         let body = wire::encode(&answer, REPORT_LIMIT).map_err(internal)?;
         Ok(reply::success(StatusCode::OK, body))
     }
 
     async fn state(&self, request: &Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
         let after = parse_query(request.uri().query().unwrap_or_default())?;
-        let state = self.shared.handler.state(after).await?.newer(after);
+        let state = self.shared.handler.state(after).await?.newer_than(after);
         if state.is_empty() {
             return Ok(reply::success(StatusCode::NO_CONTENT, Vec::new()));
         }
@@ -117,7 +117,7 @@
             return Err(Failure(StatusCode::SERVICE_UNAVAILABLE, text.to_owned()));
         }
         handovers.set(handovers.get() + 1);
-        let _held = Held(handovers);
+        let _guard = HandoverGuard(handovers);
         let body = read(request, HANDOVER_LIMIT).await?;
         let handover: wire::Handover = wire::decode(&body, HANDOVER_LIMIT)?;
         let handover = message::Handover::try_from(handover)?;
@@ -126,10 +126,10 @@
     }
 }
 
-/// Counts a handover until it ends or is dropped.
-struct Held<'a>(&'a core::cell::Cell<usize>);
+/// Counts a handover in progress until it is dropped.
+struct HandoverGuard<'a>(&'a core::cell::Cell<usize>);
 
-impl Drop for Held<'_> {
+impl Drop for HandoverGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -150,7 +150,7 @@
         let text = format!("the body is too large: send at most {limit} bytes");
         Failure(StatusCode::PAYLOAD_TOO_LARGE, text)
     };
-    // A stated length is refused before the body is sent.
+    // A `content-length` above the limit is refused without reading the body.
     if request.body().size_hint().lower() > limit as u64 {
         return Err(large());
     }
@@ -161,11 +161,11 @@
     }
 }
 
-fn parse_query(query: &str) -> Result<After, wire::Error> {
-    // A process that does not speak of hosts has a list, or is too old to take one.
-    let mut after = After {
+fn parse_query(query: &str) -> Result<KnownState, wire::Error> {
+    // A process that sends no `hosts` has a host list, or is too old to accept one.
+    let mut after = KnownState {
         hosts: true,
-        ..After::default()
+        ..KnownState::default()
     };
     for (name, value) in query.split('&').filter_map(|part| part.split_once('=')) {
         let offset = match name {
@@ -175,7 +175,7 @@
             }
             "config_after" => &mut after.config,
             "member_after" => &mut after.member,
-            // A newer version may ask for more.
+            // A newer version may send further parameters.
             _ => continue,
         };
         let parsed = value.parse();
