--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Time for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time from sending the request to the end of the answer.
-    pub answer: Duration,
+    pub response_timeout: Duration,
     /// Largest answer in bytes.
-    pub bytes: usize,
+    pub max_response_bytes: usize,
 }
 
 /// The whole answer to one request.
@@ -119,7 +119,7 @@
             },
             None => Box::new(request),
         };
-        let link = self.connect(limits.connect).await?;
+        let link = self.connect(limits.connect_timeout).await?;
         let result = self.attempt(link, *unsent, limits).await;
         result.map_err(|refused| match refused {
             Refused::Unsent(_, reason) => Failure::Unsent(reason),
@@ -133,11 +133,11 @@
         request: Message,
         limits: Limits,
     ) -> Result<Response, Refused> {
-        let exchange = exchange(&mut link.sender, request, limits.bytes);
-        let Ok(result) = timeout(limits.answer, exchange).await else {
+        let exchange = exchange(&mut link.sender, request, limits.max_response_bytes);
+        let Ok(result) = timeout(limits.response_timeout, exchange).await else {
             return Err(Refused::Failed(Failure::Timeout {
                 sent: true,
-                after: limits.answer,
+                after: limits.response_timeout,
             }));
         };
         let response = result?;
@@ -183,7 +183,7 @@
             let reason = error.into_error().to_string();
             return Err(match message {
                 Some(request) => Refused::Unsent(Box::new(request), reason),
-                None => Refused::Failed(Failure::Broken(reason)),
+                None => Refused::Failed(Failure::ConnectionLost(reason)),
             });
         }
     };
@@ -194,8 +194,10 @@
             status,
             body: body.to_bytes(),
         }),
-        Err(error) if error.is::<LengthLimitError>() => Err(Refused::Failed(Failure::Large(limit))),
-        Err(error) => Err(Refused::Failed(Failure::Broken(error.to_string()))),
+        Err(error) if error.is::<LengthLimitError>() => {
+            Err(Refused::Failed(Failure::ResponseTooLarge(limit)))
+        }
+        Err(error) => Err(Refused::Failed(Failure::ConnectionLost(error.to_string()))),
     }
 }
 
--- a/crates/client/src/failure.rs
+++ b/crates/client/src/failure.rs
@@ -11,7 +11,7 @@
     Unsent(String),
     /// The connection failed after the request was sent.
     #[error("the connection failed after the request was sent ({0}): check its effect")]
-    Broken(String),
+    ConnectionLost(String),
     /// There was no connection, or no answer, in time.
     #[error("no answer came within {} ms: check the effect if it was sent", after.as_millis())]
     Timeout {
@@ -22,7 +22,7 @@
     },
     /// The answer is too large.
     #[error("the answer has more than {0} bytes: ask for less")]
-    Large(usize),
+    ResponseTooLarge(usize),
 }
 
 impl Failure {
@@ -30,7 +30,7 @@
     pub fn may_have_effect(&self) -> bool {
         match self {
             Self::Unsent(_) => false,
-            Self::Broken(_) | Self::Large(_) => true,
+            Self::ConnectionLost(_) | Self::ResponseTooLarge(_) => true,
             Self::Timeout { sent, .. } => *sent,
         }
     }
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -72,12 +72,12 @@
     }
 
     /// Closes the idle connections to an address that is no longer in use.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.sites.borrow_mut().remove(&address);
     }
 
     /// Closes all idle connections.
-    pub fn clear(&self) {
+    pub fn close_all_idle(&self) {
         self.sites.borrow_mut().clear();
     }
 
--- a/crates/client/tests/pool.rs
+++ b/crates/client/tests/pool.rs
@@ -28,9 +28,9 @@
     let result = runtime.block_on(async {
         let pool = Pool::new(1, Duration::from_millis(30));
         let limits = Limits {
-            connect: Duration::from_secs(10),
-            answer: Duration::from_secs(10),
-            bytes: 1_024,
+            connect_timeout: Duration::from_secs(10),
+            response_timeout: Duration::from_secs(10),
+            max_response_bytes: 1_024,
         };
         let request = || {
             let request = hyper::Request::get("/").body(Full::new(Bytes::new()));
@@ -75,13 +75,13 @@
     runtime.block_on(async {
         let pool = Pool::new(1, Duration::from_secs(10));
         let limits = Limits {
-            connect: Duration::from_secs(10),
-            answer: Duration::from_secs(10),
-            bytes: 1_024,
+            connect_timeout: Duration::from_secs(10),
+            response_timeout: Duration::from_secs(10),
+            max_response_bytes: 1_024,
         };
         for close in [
-            |pool: &Pool, address| pool.forget(address),
-            |pool: &Pool, _| pool.clear(),
+            |pool: &Pool, address| pool.close_idle(address),
+            |pool: &Pool, _| pool.close_all_idle(),
         ] {
             let request = hyper::Request::get("/").body(Full::new(Bytes::new()));
             let answer = pool
--- a/crates/client/tests/reset.rs
+++ b/crates/client/tests/reset.rs
@@ -41,9 +41,9 @@
         let mut connection = Connection::new(address);
         let request = hyper::Request::get("/").body(Full::new(Bytes::new()));
         let limits = Limits {
-            connect: Duration::from_secs(2),
-            answer: Duration::from_millis(50),
-            bytes: 1_024,
+            connect_timeout: Duration::from_secs(2),
+            response_timeout: Duration::from_millis(50),
+            max_response_bytes: 1_024,
         };
         let request = request.expect("the request is well-formed");
         connection
--- a/crates/control/tests/world/event.rs
+++ b/crates/control/tests/world/event.rs
@@ -29,7 +29,7 @@
     },
 };
 use sassafrascrank_standin::cluster::{
-    Refused,
+    Refusal,
     Start, //
 };
 
@@ -204,7 +204,7 @@
         let now = self.now;
         let fences = self.plan.fences;
         let site = &mut self.sites[site];
-        site.worker.die(now);
+        site.worker.terminate(now);
         site.history.append(&mut site.worker.history);
         site.lives += 1;
         let id = format!("{}-{}", site.host, site.lives);
@@ -304,7 +304,7 @@
                         attempt: start.attempt,
                         until: start.until,
                         fence: start.target.fence,
-                        work: Some(work),
+                        duration: Some(work),
                         fails,
                     },
                     now,
@@ -328,7 +328,8 @@
                 }
             }
             Order::Poll(look) => {
-                let held = worker.hold(look.until, look.target.fence, look.acknowledged, now);
+                let held =
+                    worker.renew_lease(look.until, look.target.fence, look.acknowledged, now);
                 let result = held.map(|()| view(worker, now)).map_err(refusal);
                 Report::Poll {
                     runner: look.target.runner,
@@ -438,12 +439,12 @@
     }
 }
 
-fn refusal(refused: Refused) -> Failure {
+fn refusal(refused: Refusal) -> Failure {
     match refused {
-        Refused::Fence => Failure::Fenced,
-        Refused::Old => Failure::StaleAttempt,
-        Refused::Late => Failure::LeaseExpired,
-        Refused::Room => Failure::NoCapacity,
+        Refusal::StaleFence => Failure::Fenced,
+        Refusal::StaleAttempt => Failure::StaleAttempt,
+        Refusal::LeaseExpired => Failure::LeaseExpired,
+        Refusal::NoCapacity => Failure::NoCapacity,
     }
 }
 
@@ -460,7 +461,7 @@
         number: end.number,
         task: task(&end.task),
         attempt: end.attempt,
-        reason: match end.how {
+        reason: match end.outcome {
             "done" => EndReason::Done,
             "failed" => EndReason::Failed,
             "lapsed" => EndReason::LeaseExpired,
--- a/crates/control/tests/world/mod.rs
+++ b/crates/control/tests/world/mod.rs
@@ -25,7 +25,7 @@
     runner::Listed,
 };
 use sassafrascrank_standin::cluster::{
-    Interval,
+    Execution,
     Log,
     Worker, //
 };
@@ -86,7 +86,7 @@
     lives: u64,
     cut: Vec<Duration>,
     /// Runs of earlier lives.
-    history: Vec<Interval>,
+    history: Vec<Execution>,
 }
 
 /// A job and what its caller was told.
--- a/crates/control/tests/world/verdict.rs
+++ b/crates/control/tests/world/verdict.rs
@@ -6,7 +6,7 @@
     progress::Outcome,
     replica::State, //
 };
-use sassafrascrank_standin::cluster::Interval;
+use sassafrascrank_standin::cluster::Execution;
 use std::collections::BTreeMap;
 
 /// What has to hold at the end of a run; each number has to be 0.
@@ -30,17 +30,17 @@
             ran: world.starts.len(),
             ..Self::default()
         };
-        let mut tasks: BTreeMap<String, Vec<Interval>> = BTreeMap::new();
+        let mut tasks: BTreeMap<String, Vec<Execution>> = BTreeMap::new();
         let now = world.now;
         for site in &mut world.sites {
             site.worker.advance(now);
-            let running = site.worker.runs.iter().map(|run| Interval {
+            let running = site.worker.runs.iter().map(|run| Execution {
                 task: run.task.clone(),
                 attempt: run.attempt,
                 began: run.began,
                 ended: Duration::MAX,
-                how: "running",
-                noted: false,
+                outcome: "running",
+                acknowledged: false,
             });
             let ended = site.history.iter().chain(&site.worker.history).cloned();
             for interval in ended.chain(running) {
@@ -58,20 +58,20 @@
         verdict
     }
 
-    fn check(&mut self, intervals: &[Interval]) {
+    fn check(&mut self, intervals: &[Execution]) {
         for (index, first) in intervals.iter().enumerate() {
             for second in &intervals[index + 1..] {
                 if second.began < first.ended {
                     self.doubled += 1;
                 }
-                if first.how == "done" && first.noted {
+                if first.outcome == "done" && first.acknowledged {
                     self.repeated += 1;
                 }
             }
         }
     }
 
-    fn check_jobs(&mut self, world: &World, tasks: &BTreeMap<String, Vec<Interval>>) {
+    fn check_jobs(&mut self, world: &World, tasks: &BTreeMap<String, Vec<Execution>>) {
         let states: Vec<_> = world
             .entries
             .iter()
@@ -94,7 +94,7 @@
 }
 
 /// Tells whether a task of the job runs at the end.
-fn is_running(tasks: &BTreeMap<String, Vec<Interval>>, job: &str) -> bool {
+fn is_running(tasks: &BTreeMap<String, Vec<Execution>>, job: &str) -> bool {
     let mut tasks = tasks.iter().filter(|(task, _)| task.starts_with(job));
-    tasks.any(|(_, intervals)| intervals.iter().any(|run| run.how == "running"))
+    tasks.any(|(_, intervals)| intervals.iter().any(|run| run.outcome == "running"))
 }
--- a/crates/daemon/src/platform/follower.rs
+++ b/crates/daemon/src/platform/follower.rs
@@ -188,7 +188,7 @@
         };
         let result = self.platform.append(Stream::Config, body).await;
         let failed = result.as_ref().err().cloned();
-        self.appender.answer((self.clock)(), result);
+        self.appender.complete((self.clock)(), result);
         failed.map_or(Ok(()), Err)
     }
 
--- a/crates/daemon/src/platform/membership.rs
+++ b/crates/daemon/src/platform/membership.rs
@@ -18,8 +18,8 @@
     append::Full,
     wire::member::{
         self,
-        Act,
         Membership, //
+        Transition,
     },
 };
 use std::sync::Arc;
@@ -113,7 +113,7 @@
         };
         let result = log.append(Stream::Member, body).await;
         let failed = result.as_ref().err().cloned();
-        self.appender.answer(clock(), result);
+        self.appender.complete(clock(), result);
         failed.map_or(Ok(()), Err)
     }
 
@@ -244,14 +244,14 @@
         host: membership.origin.writer,
         incarnation: membership.origin.incarnation,
     };
-    let change = match membership.act {
-        Act::Join { zone, address } => Change::Join {
+    let change = match membership.transition {
+        Transition::Join { zone, address } => Change::Join {
             entry,
             zone,
             address,
         },
-        Act::Leave => Change::Leave { entry },
-        Act::Retire { .. } => Change::Retire { entry, by },
+        Transition::Leave => Change::Leave { entry },
+        Transition::Retire { .. } => Change::Retire { entry, by },
     };
     Record {
         sequence: membership.origin.sequence,
@@ -260,7 +260,7 @@
 }
 
 fn membership(origin: sassafrascrank_ledger::Origin, record: &Record) -> Membership {
-    let (entry, act) = match &record.change {
+    let (entry, transition) = match &record.change {
         Change::Join {
             entry,
             zone,
@@ -268,18 +268,18 @@
         } => {
             let zone = zone.clone();
             let address = *address;
-            (entry, Act::Join { zone, address })
+            (entry, Transition::Join { zone, address })
         }
-        Change::Leave { entry } => (entry, Act::Leave),
+        Change::Leave { entry } => (entry, Transition::Leave),
         Change::Retire { entry, by } => {
             let by = by.host.clone();
-            (entry, Act::Retire { by })
+            (entry, Transition::Retire { by })
         }
     };
     Membership {
         origin,
         host: entry.host.clone(),
         incarnation: entry.incarnation,
-        act,
+        transition,
     }
 }
--- a/crates/platform/src/append/appender.rs
+++ b/crates/platform/src/append/appender.rs
@@ -35,7 +35,7 @@
         offset: u64,
     },
     /// It was read back.
-    Seen {
+    ReadBack {
         /// Sequence of the record.
         sequence: u64,
         /// Its first offset.
@@ -112,7 +112,7 @@
         Ok(self.sequence)
     }
 
-    /// Returns the record to append now; its result must be given to [`answer`](Self::answer).
+    /// Returns the record to append now; its result must be given to [`complete`](Self::complete).
     pub fn poll(&mut self, now: Time) -> Option<&str> {
         if self.in_flight.is_some() || now < self.retry_at {
             return None;
@@ -129,7 +129,7 @@
     }
 
     /// Takes the result of the append that [`poll`](Self::poll) began.
-    pub fn answer(&mut self, now: Time, result: Result<u64, Error>) -> Option<Event> {
+    pub fn complete(&mut self, now: Time, result: Result<u64, Error>) -> Option<Event> {
         let sequence = self.in_flight.take()?;
         // The record may have been read back before its answer came.
         let position = self.queue.iter().position(|it| it.sequence == sequence);
@@ -162,11 +162,11 @@
         self.queue.drain(..=position);
         self.failures = 0;
         self.retry_at = Time::MIN;
-        Some(Event::Seen { sequence, offset })
+        Some(Event::ReadBack { sequence, offset })
     }
 
     /// Drops appended records up to `through`, which the reader passed without seeing them.
-    pub fn settle(&mut self, through: u64) {
+    pub fn discard_through(&mut self, through: u64) {
         let passed = |pending: &Pending| pending.offset.is_some_and(|offset| offset <= through);
         self.queue.retain(|pending| !passed(pending));
     }
--- a/crates/platform/src/follow/follow.rs
+++ b/crates/platform/src/follow/follow.rs
@@ -19,7 +19,7 @@
 
 /// One record that was folded.
 #[derive(Clone, Debug)]
-pub struct Step {
+pub struct AppliedRecord {
     /// Its offset.
     pub offset: u64,
     /// Its origin, if it could be decoded.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// Records in the order of their offsets.
-    pub steps: Vec<Step>,
+    pub records: Vec<AppliedRecord>,
     /// Newest offset of the stream when the page was read.
     pub end: u64,
     /// Whether the state reached that offset.
@@ -46,7 +46,7 @@
 /// # Errors
 ///
 /// Fails without any effect on the state if the log can't be read.
-pub async fn follow<L: Log>(log: &mut L, state: &mut State) -> Result<Progress, Error> {
+pub async fn apply_page<L: Log>(log: &mut L, state: &mut State) -> Result<Progress, Error> {
     let page = match log.read(Stream::Config, state.next(), PAGE_LIMIT).await {
         Ok(page) => page,
         Err(Error::Expired { first }) if first > state.next() => {
@@ -55,13 +55,13 @@
         }
         Err(error) => return Err(error),
     };
-    let mut steps = Vec::with_capacity(page.records.len());
+    let mut records = Vec::with_capacity(page.records.len());
     for item in page.records {
         let record = wire::config::decode(&item.body);
         let origin = record.as_ref().ok().map(|record| record.origin().clone());
         let verdict = state.apply(item.offset, record.map_err(Into::into));
         let adopted = verdict == Verdict::Snapshot { adopted: true };
-        steps.push(Step {
+        records.push(AppliedRecord {
             offset: item.offset,
             origin,
             verdict,
@@ -72,7 +72,7 @@
         }
     }
     Ok(Progress {
-        steps,
+        records,
         end: page.end,
         at_end: state.next() > page.end,
     })
@@ -83,13 +83,13 @@
 /// # Errors
 ///
 /// Fails if the log can't be read; what was folded until then stays.
-pub async fn catch_up<L: Log>(log: &mut L, state: &mut State) -> Result<Vec<Step>, Error> {
-    let mut steps = Vec::new();
+pub async fn catch_up<L: Log>(log: &mut L, state: &mut State) -> Result<Vec<AppliedRecord>, Error> {
+    let mut records = Vec::new();
     loop {
-        let progress = follow(log, state).await?;
-        steps.extend(progress.steps);
+        let progress = apply_page(log, state).await?;
+        records.extend(progress.records);
         if progress.at_end {
-            return Ok(steps);
+            return Ok(records);
         }
     }
 }
--- a/crates/platform/src/follow/mod.rs
+++ b/crates/platform/src/follow/mod.rs
@@ -3,9 +3,9 @@
 mod follow;
 
 pub use follow::{
+    AppliedRecord,
     PAGE_LIMIT,
     Progress,
-    Step,
+    apply_page, //
     catch_up,
-    follow, //
 };
--- a/crates/platform/src/http/client.rs
+++ b/crates/platform/src/http/client.rs
@@ -33,17 +33,17 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// For opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// From sending the request to the end of the answer.
-    pub answer: Duration,
+    pub response_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Leaves time for two tries within the 8 s in which a change must be in force.
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            answer: Duration::from_secs(3),
+            connect_timeout: Duration::from_secs(1),
+            response_timeout: Duration::from_secs(3),
         }
     }
 }
@@ -62,12 +62,12 @@
 impl From<Failure> for Trouble {
     fn from(failure: Failure) -> Self {
         Self::Call(match failure {
-            Failure::Large(_) => return Self::Large,
+            Failure::ResponseTooLarge(_) => return Self::Large,
             Failure::Unsent(reason) => Error::Unavailable {
                 sent: false,
                 reason,
             },
-            Failure::Broken(reason) => Error::Unavailable { sent: true, reason },
+            Failure::ConnectionLost(reason) => Error::Unavailable { sent: true, reason },
             Failure::Timeout { sent, after } => Error::Timeout { sent, after },
         })
     }
@@ -108,9 +108,9 @@
             .body(Full::new(body))
             .map_err(|error| Trouble::Call(Error::malformed("path", path, error.to_string())))?;
         let limits = sassafrascrank_client::Limits {
-            connect: self.limits.connect,
-            answer: self.limits.answer,
-            bytes: RESPONSE_LIMIT,
+            connect_timeout: self.limits.connect_timeout,
+            response_timeout: self.limits.response_timeout,
+            max_response_bytes: RESPONSE_LIMIT,
         };
         Ok(self.connection.call(request, limits).await?)
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -22,6 +22,6 @@
     Event, //
 };
 pub use follow::{
+    AppliedRecord, //
     Progress,
-    Step, //
 };
--- a/crates/platform/src/publish/publish.rs
+++ b/crates/platform/src/publish/publish.rs
@@ -11,9 +11,9 @@
         Event, //
     },
     follow::{
-        Step,
+        AppliedRecord,
+        apply_page, //
         catch_up,
-        follow, //
     },
     wire, //
 };
@@ -78,7 +78,7 @@
     Incomplete,
     /// The append took longer than allowed and was never sent.
     #[error("nothing was published within {} ms: try again later", .0.as_millis())]
-    Late(Duration),
+    Timeout(Duration),
 }
 
 /// Publishes the values of `document` on the basis of what is in force now.
@@ -136,7 +136,7 @@
 async fn read<L: Log>(log: &mut L, limit: Duration) -> Result<ledger::State, Error> {
     let mut state = ledger::State::new(1);
     let read = timeout(limit, catch_up(log, &mut state)).await;
-    read.map_err(|_| Error::Late(limit))??;
+    read.map_err(|_| Error::Timeout(limit))??;
     match state.status() {
         ledger::Status::Complete => Ok(state),
         _ => Err(Error::Incomplete),
@@ -199,9 +199,9 @@
                 sleep(READ_INTERVAL).await;
                 continue;
             }
-            match follow(self.log, &mut self.state).await {
+            match apply_page(self.log, &mut self.state).await {
                 Ok(progress) => {
-                    if let Some(outcome) = self.find(&progress.steps) {
+                    if let Some(outcome) = self.find(&progress.records) {
                         return Ok(outcome);
                     }
                     if !progress.at_end {
@@ -215,7 +215,7 @@
         match self.reason {
             reason if self.sent => Ok(Outcome::Unknown { reason }),
             Some(error) => Err(Error::Log(error)),
-            None => Err(Error::Late(self.limit)),
+            None => Err(Error::Timeout(self.limit)),
         }
     }
 
@@ -234,14 +234,14 @@
             }
         }
         let now = self.now();
-        match self.appender.answer(now, result) {
+        match self.appender.complete(now, result) {
             Some(Event::Rejected { error, .. }) if !self.sent => Err(Error::Log(error)),
             _ => Ok(()),
         }
     }
 
     /// Returns the outcome if the first copy of the own record is among `steps`.
-    fn find(&mut self, steps: &[Step]) -> Option<Outcome> {
+    fn find(&mut self, steps: &[AppliedRecord]) -> Option<Outcome> {
         let own = steps.iter().find(|step| {
             let origin = step.origin.as_ref();
             origin.is_some_and(|origin| self.appender.observe(origin, step.offset).is_some())
--- a/crates/platform/src/wire/config.rs
+++ b/crates/platform/src/wire/config.rs
@@ -72,16 +72,16 @@
     /// Basis of absent subjects.
     pub floor: u64,
     /// Values in force and tombstones.
-    pub values: Vec<Held>,
+    pub values: Vec<Revision>,
     /// Writers and their highest sequences.
-    pub writers: Vec<Seen>,
+    pub writers: Vec<WriterState>,
 }
 
 /// Value in force or tombstone.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Held {
+pub struct Revision {
     /// What the value is about.
     pub subject: String,
     /// Offset of the change that set it.
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seen {
+pub struct WriterState {
     /// Name of the writer.
     pub writer: String,
     /// Incarnation of the writer.
@@ -155,7 +155,7 @@
             through: image.through,
             floor: image.floor,
             values: values
-                .map(|(subject, held)| Held {
+                .map(|(subject, held)| Revision {
                     subject: subject.to_string(),
                     offset: held.offset,
                     writer: held.writer.to_string(),
@@ -163,7 +163,7 @@
                 })
                 .collect(),
             writers: writers
-                .map(|seen| Seen {
+                .map(|seen| WriterState {
                     writer: seen.writer.to_string(),
                     incarnation: seen.incarnation,
                     sequence: seen.sequence,
@@ -223,10 +223,10 @@
     }
 }
 
-impl TryFrom<Seen> for ledger::WriterState {
+impl TryFrom<WriterState> for ledger::WriterState {
     type Error = Error;
 
-    fn try_from(wire: Seen) -> Result<Self, Error> {
+    fn try_from(wire: WriterState) -> Result<Self, Error> {
         Ok(Self {
             writer: parse_name("writer", &wire.writer)?,
             incarnation: wire.incarnation,
@@ -236,7 +236,7 @@
     }
 }
 
-fn convert_held(wire: Held) -> Result<(model::Subject, ledger::Revision), Error> {
+fn convert_held(wire: Revision) -> Result<(model::Subject, ledger::Revision), Error> {
     let subject = parse_subject(&wire.subject)?;
     let held = ledger::Revision {
         offset: wire.offset,
--- a/crates/platform/src/wire/member.rs
+++ b/crates/platform/src/wire/member.rs
@@ -79,12 +79,12 @@
     /// Incarnation of the process.
     pub incarnation: u64,
     /// What happened to it.
-    pub act: Act,
+    pub transition: Transition,
 }
 
 /// What happened to an entry process.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Act {
+pub enum Transition {
     /// It started.
     Join {
         /// Availability zone.
@@ -120,20 +120,20 @@
         let origin = (&record.origin).into();
         let host = record.host.to_string();
         let incarnation = record.incarnation;
-        match &record.act {
-            Act::Join { zone, address } => Self::Join(Join {
+        match &record.transition {
+            Transition::Join { zone, address } => Self::Join(Join {
                 origin,
                 host,
                 incarnation,
                 zone: zone.to_string(),
                 address: address.to_string(),
             }),
-            Act::Leave => Self::Leave(Leave {
+            Transition::Leave => Self::Leave(Leave {
                 origin,
                 host,
                 incarnation,
             }),
-            Act::Retire { by } => Self::Retire(Retire {
+            Transition::Retire { by } => Self::Retire(Retire {
                 origin,
                 host,
                 incarnation,
@@ -147,27 +147,32 @@
     type Error = Error;
 
     fn try_from(wire: Record) -> Result<Self, Error> {
-        let (origin, host, incarnation, act) = match wire {
+        let (origin, host, incarnation, transition) = match wire {
             Record::Join(join) => {
-                let act = Act::Join {
+                let transition = Transition::Join {
                     zone: parse_name("zone", &join.zone)?,
                     address: parse_address("address", &join.address)?,
                 };
-                (join.origin, join.host, join.incarnation, act)
+                (join.origin, join.host, join.incarnation, transition)
             }
-            Record::Leave(leave) => (leave.origin, leave.host, leave.incarnation, Act::Leave),
+            Record::Leave(leave) => (
+                leave.origin,
+                leave.host,
+                leave.incarnation,
+                Transition::Leave,
+            ),
             Record::Retire(retire) => {
-                let act = Act::Retire {
+                let transition = Transition::Retire {
                     by: parse_name("by", &retire.by)?,
                 };
-                (retire.origin, retire.host, retire.incarnation, act)
+                (retire.origin, retire.host, retire.incarnation, transition)
             }
         };
         Ok(Self {
             origin: origin.try_into()?,
             host: parse_name("host", &host)?,
             incarnation,
-            act,
+            transition,
         })
     }
 }
--- a/crates/platform/tests/append.rs
+++ b/crates/platform/tests/append.rs
@@ -47,7 +47,7 @@
             None,
             "a second append while one is in flight"
         );
-        appender.answer(now, Err(lost()));
+        appender.complete(now, Err(lost()));
         let wake = appender.wake_at().unwrap();
         let wait = wake.since(now).as_millis();
         writeln!(report, "{body:?}, then {wait} ms").unwrap();
@@ -56,7 +56,7 @@
     }
     let seen = appender.observe(&origin(1), 5);
     let next = appender.poll(now).map(str::to_owned);
-    let appended = appender.answer(now, Ok(6));
+    let appended = appender.complete(now, Ok(6));
     let other = appender.poll(now).map(str::to_owned);
     writeln!(report, "{seen:?}\n{next:?}\n{appended:?}\n{other:?}").unwrap();
     writeln!(report, "{:?}", appender.observe(&origin(2), 6)).unwrap();
@@ -91,7 +91,7 @@
     appender.push(|origin| origin.to_string()).unwrap();
     assert!(appender.poll(Time::MIN).is_some());
     appender.observe(&origin(1), 4);
-    assert_eq!(appender.answer(Time::MIN, Ok(4)), None);
+    assert_eq!(appender.complete(Time::MIN, Ok(4)), None);
     assert_eq!(appender.poll(Time::MIN), Some("entry1/1/2"));
 }
 
@@ -105,7 +105,7 @@
     let full = appender.push(|origin| origin.to_string());
     assert!(appender.poll(Time::MIN).is_some());
     let refused = Error::malformed("record", "x", "send one JSON object");
-    let event = appender.answer(Time::MIN, Err(refused));
+    let event = appender.complete(Time::MIN, Err(refused));
     let next = appender.poll(Time::MIN).map(str::to_owned);
     insta::assert_debug_snapshot!((full, event, next, appender.len()));
 }
@@ -116,10 +116,10 @@
     let mut appender = appender(1);
     appender.push(|origin| origin.to_string()).unwrap();
     assert!(appender.poll(Time::MIN).is_some());
-    appender.answer(Time::MIN, Ok(4));
-    appender.settle(3);
+    appender.complete(Time::MIN, Ok(4));
+    appender.discard_through(3);
     assert_eq!(appender.len(), 1);
-    appender.settle(4);
+    appender.discard_through(4);
     assert!(appender.is_empty());
 }
 
@@ -131,7 +131,7 @@
             let mut appender = appender(seed);
             appender.push(|origin| origin.to_string()).unwrap();
             assert!(appender.poll(Time::MIN).is_some());
-            appender.answer(Time::MIN, Err(lost()));
+            appender.complete(Time::MIN, Err(lost()));
             appender.wake_at().unwrap().since(Time::MIN).as_micros()
         })
         .collect();
--- a/crates/platform/tests/client.rs
+++ b/crates/platform/tests/client.rs
@@ -14,8 +14,8 @@
 use sassafrascrank_platform::{
     Directory, Error, Log, Stream,
     follow::{
+        apply_page, //
         catch_up,
-        follow, //
     },
     http::{
         Client,
@@ -50,8 +50,8 @@
 
 fn client(address: SocketAddr) -> Client {
     let limits = Limits {
-        connect: PATIENT,
-        answer: PATIENT,
+        connect_timeout: PATIENT,
+        response_timeout: PATIENT,
     };
     Client::new(address, limits)
 }
@@ -127,9 +127,9 @@
     platform.append("config", r#"{"change":7}"#);
     platform.append("config", &change(2));
     let mut state = State::new(1);
-    let progress = follow(&mut client, &mut state).await.unwrap();
+    let progress = apply_page(&mut client, &mut state).await.unwrap();
     let verdicts: Vec<_> = progress
-        .steps
+        .records
         .into_iter()
         .map(|step| step.verdict)
         .collect();
@@ -151,7 +151,7 @@
             ..Faults::default()
         });
         for _ in 0..3 {
-            let error = follow(&mut client, &mut state).await.unwrap_err();
+            let error = apply_page(&mut client, &mut state).await.unwrap_err();
             assert!(
                 matches!(error, Error::Unavailable { .. }),
                 "{outage:?}: {error}"
@@ -205,8 +205,8 @@
         ..Faults::default()
     });
     let limits = Limits {
-        connect: PATIENT,
-        answer: Duration::from_millis(50),
+        connect_timeout: PATIENT,
+        response_timeout: Duration::from_millis(50),
     };
     let mut client = Client::new(platform.address(), limits);
     let error = client.append(Stream::Config, &change(1)).await.unwrap_err();
@@ -228,7 +228,7 @@
     let mut client = client(platform.address());
     client.append(Stream::Config, &change(1)).await.unwrap();
     platform.set_faults(Faults {
-        lost_percent: 100,
+        lost_answer_percent: 100,
         ..Faults::default()
     });
     let error = client.append(Stream::Config, &change(2)).await.unwrap_err();
@@ -242,7 +242,7 @@
     for seed in 0..10 {
         let platform = start(1_000, seed);
         platform.set_faults(Faults {
-            lost_percent: 60,
+            lost_answer_percent: 60,
             ..Faults::default()
         });
         let mut client = client(platform.address());
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -25,8 +25,8 @@
 async fn changes_of_the_host_list_arrive_alone() {
     let platform = Platform::start(Settings::default()).unwrap();
     let limits = Limits {
-        connect: PATIENT,
-        answer: PATIENT,
+        connect_timeout: PATIENT,
+        response_timeout: PATIENT,
     };
     let mut client = Client::new(platform.address(), limits);
     let host = |name: &str, state: &str| Host {
--- a/crates/platform/tests/wire.rs
+++ b/crates/platform/tests/wire.rs
@@ -26,8 +26,8 @@
         self, config,
         member::{
             self,
-            Act,
             Membership, //
+            Transition,
         },
     },
 };
@@ -114,15 +114,17 @@
 
 fn membership() -> impl Strategy<Value = Membership> {
     let address = (any::<[u8; 4]>(), any::<u16>()).prop_map(std::net::SocketAddr::from);
-    let join = (name(), address).prop_map(|(zone, address)| Act::Join { zone, address });
-    let retire = name().prop_map(|by| Act::Retire { by });
-    let act = prop_oneof![join, Just(Act::Leave), retire];
-    (origin(), name(), any::<u64>(), act).prop_map(|(origin, host, incarnation, act)| Membership {
-        origin,
-        host,
-        incarnation,
-        act,
-    })
+    let join = (name(), address).prop_map(|(zone, address)| Transition::Join { zone, address });
+    let retire = name().prop_map(|by| Transition::Retire { by });
+    let transition = prop_oneof![join, Just(Transition::Leave), retire];
+    (origin(), name(), any::<u64>(), transition).prop_map(
+        |(origin, host, incarnation, transition)| Membership {
+            origin,
+            host,
+            incarnation,
+            transition,
+        },
+    )
 }
 
 fn host() -> impl Strategy<Value = Host> {
@@ -280,26 +282,26 @@
             }],
         },
     });
-    let membership = |act| {
+    let membership = |transition| {
         member::encode(&Membership {
             origin: origin.clone(),
             host: Name::new("entry1").unwrap(),
             incarnation: 9,
-            act,
+            transition,
         })
     };
-    let join = membership(Act::Join {
+    let join = membership(Transition::Join {
         zone: Name::new("suva").unwrap(),
         address: "10.0.0.7:8080".parse().unwrap(),
     });
-    let retire = membership(Act::Retire {
+    let retire = membership(Transition::Retire {
         by: Name::new("entry2").unwrap(),
     });
     let lines = [
         config::encode(&change),
         config::encode(&snapshot),
         join,
-        membership(Act::Leave),
+        membership(Transition::Leave),
         retire,
     ];
     insta::assert_snapshot!(lines.join("\n"));
--- a/crates/schedule/tests/engine/evict.rs
+++ b/crates/schedule/tests/engine/evict.rs
@@ -55,7 +55,10 @@
         least = least.min(harness.running_count());
     }
     assert!(least >= 2, "only {least} of 3 tasks ran, 1 may be missed");
-    assert!(harness.hosts.most <= 2, "the cap of the wave is exceeded");
+    assert!(
+        harness.hosts.max_in_maintenance <= 2,
+        "the cap of the wave is exceeded"
+    );
     assert_eq!(harness.announced, [(1, false), (1, true)]);
     assert!(
         !harness.timeline().contains("killed"),
--- a/crates/schedule/tests/engine/harness/execute.rs
+++ b/crates/schedule/tests/engine/harness/execute.rs
@@ -25,7 +25,7 @@
 };
 use sassafrascrank_standin::cluster::{
     Phase,
-    Refused,
+    Refusal,
     Start,
     Worker, //
 };
@@ -110,7 +110,7 @@
             attempt: start.attempt,
             until: start.until,
             fence: start.target.fence,
-            work: (self.task_duration)(&start.task).map(|duration| duration * slowdown),
+            duration: (self.task_duration)(&start.task).map(|duration| duration * slowdown),
             fails: (self.fails)(&start.task, start.attempt, &start.target.id),
         };
         let answer = self.send(&start.target, |worker| {
@@ -146,7 +146,7 @@
         let hide_progress = self.hide_progress;
         let answer = self.send(&poll.target, |worker| {
             let fence = poll.target.fence;
-            let held = worker.hold(poll.until, fence, poll.acknowledged, now);
+            let held = worker.renew_lease(poll.until, fence, poll.acknowledged, now);
             held.map(|()| view(worker, &load, hide_progress, now))
                 .map_err(failure)
         });
@@ -240,12 +240,12 @@
     )
 }
 
-fn failure(refused: Refused) -> Failure {
+fn failure(refused: Refusal) -> Failure {
     match refused {
-        Refused::Fence => Failure::Fenced,
-        Refused::Old => Failure::StaleAttempt,
-        Refused::Late => Failure::LeaseExpired,
-        Refused::Room => Failure::NoCapacity,
+        Refusal::StaleFence => Failure::Fenced,
+        Refusal::StaleAttempt => Failure::StaleAttempt,
+        Refusal::LeaseExpired => Failure::LeaseExpired,
+        Refusal::NoCapacity => Failure::NoCapacity,
     }
 }
 
@@ -270,7 +270,7 @@
         number: end.number,
         task: task(&end.task),
         attempt: end.attempt,
-        reason: match end.how {
+        reason: match end.outcome {
             "done" => EndReason::Done,
             "failed" => EndReason::Failed,
             "lapsed" => EndReason::LeaseExpired,
--- a/crates/schedule/tests/engine/harness/harness.rs
+++ b/crates/schedule/tests/engine/harness/harness.rs
@@ -208,7 +208,7 @@
     /// Returns the number of runs that are being stopped.
     pub(crate) fn stopping(&self) -> usize {
         let runs = self.runners.values().flat_map(|runner| &runner.worker.runs);
-        runs.filter(|run| run.stops.is_some()).count()
+        runs.filter(|run| run.stops_at.is_some()).count()
     }
 
     /// Returns the present time of day.
@@ -344,7 +344,7 @@
             let text = format!("killed {} at {id}", &run.task[17..]);
             let _ = writeln!(self.lines, "{:>6} {text}", self.now.as_millis());
         }
-        runner.worker.die(self.now);
+        runner.worker.terminate(self.now);
         if let Some(pool) = pool {
             runner.listed.pool = pool.into();
         }
--- a/crates/schedule/tests/engine/host.rs
+++ b/crates/schedule/tests/engine/host.rs
@@ -71,7 +71,11 @@
         .engine
         .add_wave(1, names, Duration::from_secs(20), 1, None, now);
     harness.run_ms(12_000);
-    assert!(harness.hosts.most <= 1, "{}", harness.timeline());
+    assert!(
+        harness.hosts.max_in_maintenance <= 1,
+        "{}",
+        harness.timeline()
+    );
     assert_eq!(harness.announced, [(1, false), (1, true)]);
     insta::assert_snapshot!(harness.timeline());
 }
--- a/crates/standin/src/cluster/cluster.rs
+++ b/crates/standin/src/cluster/cluster.rs
@@ -1,7 +1,7 @@
 //! The services of a cluster on loopback addresses.
 
 use super::{
-    Interval, Plan,
+    Execution, Plan,
     answer::Answer,
     runner,
     service::{
@@ -114,7 +114,7 @@
         let state = lock(&self.state);
         let begun = state.hosts.hosts.values();
         let begun = begun.filter(|host| host.maintained.contains(&wave)).count();
-        (begun, state.hosts.most)
+        (begun, state.hosts.max_in_maintenance)
     }
 
     /// Returns the state of a wave as the system published it.
@@ -140,7 +140,7 @@
     }
 
     /// Returns all runs that have ended.
-    pub fn history(&self) -> Vec<Interval> {
+    pub fn history(&self) -> Vec<Execution> {
         let state = lock(&self.state);
         let workers = state.sites.values().filter_map(|site| site.worker.as_ref());
         let present = workers.flat_map(|worker| worker.history.clone());
--- a/crates/standin/src/cluster/hosts.rs
+++ b/crates/standin/src/cluster/hosts.rs
@@ -39,7 +39,7 @@
     /// How long maintenance takes.
     pub maintenance_time: Duration,
     /// Most hosts of one wave in maintenance at once that were seen, for checks.
-    pub most: usize,
+    pub max_in_maintenance: usize,
 }
 
 impl Hosts {
@@ -112,7 +112,9 @@
         host.maintained.push(wave);
         host.phase = Phase::Maintenance(until);
         let down = |host: &&Host| matches!(host.phase, Phase::Maintenance(_));
-        self.most = self.most.max(self.hosts.values().filter(down).count());
+        self.max_in_maintenance = self
+            .max_in_maintenance
+            .max(self.hosts.values().filter(down).count());
         Some(true)
     }
 }
--- a/crates/standin/src/cluster/mod.rs
+++ b/crates/standin/src/cluster/mod.rs
@@ -32,8 +32,8 @@
 };
 pub use worker::{
     End,
-    Interval,
-    Refused,
+    Execution,
+    Refusal,
     Run,
     Start,
     Worker, //
--- a/crates/standin/src/cluster/runner.rs
+++ b/crates/standin/src/cluster/runner.rs
@@ -1,7 +1,7 @@
 //! Runners over HTTP.
 
 use super::{
-    Refused, Start, Worker,
+    Refusal, Start, Worker,
     answer::{
         Answer,
         json, //
@@ -26,10 +26,10 @@
 };
 use tokio::time::sleep;
 
-/// Time between two looks at a runner that a caller waits for.
-const POLL: Duration = Duration::from_millis(3);
+/// Time between two looks at a runner that a caller polls_again for.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 /// How long a task works whose text does not say so.
-const WORK: u64 = 200;
+const DEFAULT_WORK_MS: u64 = 200;
 
 /// Answers a request to the runner of a host. A text `work=N` makes a task work for N ms, `lasting` until it is
 /// stopped, and `fails` makes it fail.
@@ -50,17 +50,17 @@
             let Some(worker) = worker.filter(|worker| worker.id == expected) else {
                 return json(StatusCode::MISDIRECTED_REQUEST, &object!({}));
             };
-            let result = order(worker, head.uri.path(), &body, now);
-            let waits = head.uri.path() == "/hold" && worker.ends.is_empty();
-            if result.is_err() || !waits || begun.elapsed() >= wait {
+            let result = execute(worker, head.uri.path(), &body, now);
+            let polls_again = head.uri.path() == "/hold" && worker.ends.is_empty();
+            if result.is_err() || !polls_again || begun.elapsed() >= wait {
                 return answer(worker, result, now);
             }
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn order(worker: &mut Worker, path: &str, body: &Value, now: Duration) -> Result<(), Refused> {
+fn execute(worker: &mut Worker, path: &str, body: &Value, now: Duration) -> Result<(), Refusal> {
     let task = body["task"].as_str().unwrap_or_default();
     let attempt = body["attempt"].as_u64().unwrap_or_default() as u32;
     let fence = body["fence"].as_u64().unwrap_or_default();
@@ -70,13 +70,13 @@
             let millis = text.split(' ').find_map(|word| word.strip_prefix("work="));
             let millis = millis
                 .and_then(|millis| millis.parse().ok())
-                .unwrap_or(WORK);
+                .unwrap_or(DEFAULT_WORK_MS);
             let start = Start {
                 task: task.to_owned(),
                 attempt,
                 until: body["untilMs"].as_u64().unwrap_or_default(),
                 fence,
-                work: (!text.contains("lasting")).then(|| Duration::from_millis(millis)),
+                duration: (!text.contains("lasting")).then(|| Duration::from_millis(millis)),
                 fails: text.contains("fails"),
             };
             worker.start(start, now)
@@ -84,12 +84,12 @@
         "/run-stop" => worker.stop(task, attempt, fence, now),
         _ => {
             let acknowledged = body["ackCursor"].as_u64().unwrap_or_default();
-            worker.hold(body["untilMs"].as_u64(), fence, acknowledged, now)
+            worker.renew_lease(body["untilMs"].as_u64(), fence, acknowledged, now)
         }
     }
 }
 
-fn answer(worker: &Worker, result: Result<(), Refused>, now: Duration) -> Answer {
+fn answer(worker: &Worker, result: Result<(), Refusal>, now: Duration) -> Answer {
     let clock = worker.clock(now);
     if let Err(refused) = result {
         let body = object!({ "clockMs": clock, "reason": refused.as_str() });
@@ -103,7 +103,7 @@
     let finished: Vec<Value> = worker
         .ends
         .iter()
-        .map(|end| object!([end.number, end.task, end.attempt, end.how, ""]))
+        .map(|end| object!([end.number, end.task, end.attempt, end.outcome, ""]))
         .collect();
     let body = object!({
         "clockMs": clock,
--- a/crates/standin/src/cluster/state.rs
+++ b/crates/standin/src/cluster/state.rs
@@ -1,8 +1,8 @@
 //! State of a cluster, shared by its services.
 
 use super::{
+    Execution,
     Hosts,
-    Interval,
     Log,
     Phase,
     Worker, //
@@ -78,7 +78,7 @@
     pub(super) hosts: Hosts,
     pub(super) sites: BTreeMap<String, Site>,
     /// Runs of earlier lives.
-    pub(super) history: Vec<Interval>,
+    pub(super) history: Vec<Execution>,
     pub(super) config_version: u64,
 }
 
@@ -154,7 +154,7 @@
         let now = self.now();
         let site = self.sites.get_mut(host);
         if let Some(mut worker) = site.and_then(|site| site.worker.take()) {
-            worker.die(now);
+            worker.terminate(now);
             self.history.append(&mut worker.history);
             let record = vec![(worker.id, Vec::new())];
             // Without a producer and a condition, an append is always accepted.
--- a/crates/standin/src/cluster/worker.rs
+++ b/crates/standin/src/cluster/worker.rs
@@ -7,25 +7,25 @@
 
 /// Why a start was not carried out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refused {
+pub enum Refusal {
     /// A higher fence was seen.
-    Fence,
+    StaleFence,
     /// This attempt or a later one ended or was stopped.
-    Old,
+    StaleAttempt,
     /// The lease has ended already.
-    Late,
-    /// There is no room.
-    Room,
+    LeaseExpired,
+    /// All run slots are in use.
+    NoCapacity,
 }
 
-impl Refused {
+impl Refusal {
     /// Returns the word on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Fence => "fence",
-            Self::Old => "old",
-            Self::Late => "late",
-            Self::Room => "room",
+            Self::StaleFence => "fence",
+            Self::StaleAttempt => "old",
+            Self::LeaseExpired => "late",
+            Self::NoCapacity => "room",
         }
     }
 }
@@ -42,7 +42,7 @@
     /// Epoch of the leader.
     pub fence: u64,
     /// How long the task takes; `None` if it lasts until it is stopped.
-    pub work: Option<Duration>,
+    pub duration: Option<Duration>,
     /// It ends as failed.
     pub fails: bool,
 }
@@ -57,9 +57,9 @@
     /// When it began.
     pub began: Duration,
     /// When it ends by itself.
-    ends: Option<Duration>,
+    ends_at: Option<Duration>,
     /// When its stop has ended, if it was ordered.
-    pub stops: Option<Duration>,
+    pub stops_at: Option<Duration>,
     fails: bool,
 }
 
@@ -67,7 +67,7 @@
     /// Returns its progress in percent; a run that lasts is at work half a second after its beginning.
     pub fn percent(&self, now: Duration) -> u8 {
         let spent = now.saturating_sub(self.began);
-        match self.ends {
+        match self.ends_at {
             None => 100 * u8::from(spent >= Duration::from_millis(500)),
             Some(ends) => {
                 let whole = (ends - self.began).as_micros().max(1);
@@ -77,7 +77,7 @@
     }
 }
 
-/// An end that is listed.
+/// An ended run that the leader has not acknowledged yet.
 #[derive(Clone, Debug)]
 pub struct End {
     /// Its number.
@@ -87,12 +87,12 @@
     /// Its attempt.
     pub attempt: u32,
     /// How it ended.
-    pub how: &'static str,
+    pub outcome: &'static str,
 }
 
 /// One run from its beginning to its end, for checks.
 #[derive(Clone, Debug)]
-pub struct Interval {
+pub struct Execution {
     /// Name of the task.
     pub task: String,
     /// Its attempt.
@@ -102,9 +102,9 @@
     /// When it ended.
     pub ended: Duration,
     /// How it ended; `died` with the worker.
-    pub how: &'static str,
+    pub outcome: &'static str,
     /// The leader took note of the end, without a lapse of the lease before.
-    pub noted: bool,
+    pub acknowledged: bool,
 }
 
 /// One life of a runner. All times are since the beginning of the test.
@@ -116,9 +116,9 @@
     pub born: u64,
     /// Thousandths of true time that its clock shows.
     rate: u64,
-    epoch: Duration,
+    clock_start: Duration,
     /// Most runs at once.
-    room: usize,
+    max_runs: usize,
     /// What runs.
     pub runs: Vec<Run>,
     /// Ends that were not acknowledged.
@@ -129,34 +129,34 @@
     fenced: bool,
     /// Time that a stop takes.
     pub stop_time: Duration,
-    until: u64,
+    lease_until: u64,
     /// Highest attempt that ended or was stopped, by task.
-    past: HashMap<String, u32>,
+    past_attempts: HashMap<String, u32>,
     /// All runs that have ended, for checks.
-    pub history: Vec<Interval>,
-    /// Positions in the history of ends that are listed.
-    listed: HashMap<u64, usize>,
+    pub history: Vec<Execution>,
+    /// Index in `history` of each unacknowledged end, by the number of the end.
+    unacknowledged: HashMap<u64, usize>,
 }
 
 impl Worker {
     /// Makes a worker whose clock shows `rate` thousandths of true time from `now` on.
-    pub fn new(id: &str, born: u64, room: usize, rate: u64, now: Duration) -> Self {
+    pub fn new(id: &str, born: u64, max_runs: usize, rate: u64, now: Duration) -> Self {
         Self {
             id: id.to_owned(),
             born,
             rate,
-            epoch: now,
-            room,
+            clock_start: now,
+            max_runs,
             runs: Vec::new(),
             ends: Vec::new(),
             number: 0,
             fence: 0,
             fenced: true,
             stop_time: Duration::ZERO,
-            until: 0,
-            past: HashMap::new(),
+            lease_until: 0,
+            past_attempts: HashMap::new(),
             history: Vec::new(),
-            listed: HashMap::new(),
+            unacknowledged: HashMap::new(),
         }
     }
 
@@ -166,9 +166,9 @@
     }
 
     /// Takes a fence, or refuses a lower one.
-    fn check_fence(&mut self, fence: u64) -> Result<(), Refused> {
+    fn check_fence(&mut self, fence: u64) -> Result<(), Refusal> {
         if self.fenced && fence < self.fence {
-            return Err(Refused::Fence);
+            return Err(Refusal::StaleFence);
         }
         self.fence = self.fence.max(fence);
         Ok(())
@@ -176,23 +176,23 @@
 
     /// Returns its clock in milliseconds.
     pub fn clock(&self, now: Duration) -> u64 {
-        let elapsed = now.saturating_sub(self.epoch).as_micros() as u64;
+        let elapsed = now.saturating_sub(self.clock_start).as_micros() as u64;
         1_000 + elapsed * self.rate / 1_000_000
     }
 
     /// Returns when the lease ends.
-    fn lapse(&self) -> Duration {
-        let millis = self.until.saturating_sub(1_000);
-        self.epoch + Duration::from_micros(millis * 1_000_000 / self.rate)
+    fn lease_end(&self) -> Duration {
+        let millis = self.lease_until.saturating_sub(1_000);
+        self.clock_start + Duration::from_micros(millis * 1_000_000 / self.rate)
     }
 
     /// Ends what has ended by itself or by the end of the lease.
     pub fn advance(&mut self, now: Duration) {
-        let lapse = self.lapse();
+        let lease_end = self.lease_end();
         let mut due: Vec<(Duration, usize)> = Vec::new();
         for (index, run) in self.runs.iter().enumerate() {
-            let ends = [run.ends, run.stops].into_iter().flatten();
-            let at = ends.fold(lapse, Duration::min);
+            let ends = [run.ends_at, run.stops_at].into_iter().flatten();
+            let at = ends.fold(lease_end, Duration::min);
             if at <= now {
                 due.push((at, index));
             }
@@ -201,17 +201,17 @@
         let mut ended: Vec<usize> = due.iter().map(|(_, index)| *index).collect();
         for (at, index) in due {
             let run = self.runs[index].clone();
-            let how = match run.ends {
-                _ if run.stops == Some(at) => "stopped",
-                Some(ends) if ends <= lapse && run.fails => "failed",
-                Some(ends) if ends <= lapse => "done",
+            let outcome = match run.ends_at {
+                _ if run.stops_at == Some(at) => "stopped",
+                Some(ends) if ends <= lease_end && run.fails => "failed",
+                Some(ends) if ends <= lease_end => "done",
                 _ => "lapsed",
             };
-            self.list(&run, at, how);
+            self.record_end(&run, at, outcome);
         }
-        if lapse <= now {
+        if lease_end <= now {
             // What was listed when the lease ended was not taken note of.
-            self.listed.clear();
+            self.unacknowledged.clear();
         }
         ended.sort_unstable();
         for index in ended.into_iter().rev() {
@@ -219,29 +219,29 @@
         }
     }
 
-    fn list(&mut self, run: &Run, at: Duration, how: &'static str) {
+    fn record_end(&mut self, run: &Run, at: Duration, outcome: &'static str) {
         self.number += 1;
-        self.listed.insert(self.number, self.history.len());
-        self.history.push(Interval {
+        self.unacknowledged.insert(self.number, self.history.len());
+        self.history.push(Execution {
             task: run.task.clone(),
             attempt: run.attempt,
             began: run.began,
             ended: at,
-            how,
-            noted: false,
+            outcome,
+            acknowledged: false,
         });
         self.ends.push(End {
             number: self.number,
             task: run.task.clone(),
             attempt: run.attempt,
-            how,
+            outcome,
         });
-        self.raise(&run.task, run.attempt);
+        self.raise_past_attempt(&run.task, run.attempt);
     }
 
-    fn raise(&mut self, task: &str, attempt: u32) {
-        let past = self.past.entry(task.to_owned()).or_default();
-        *past = (*past).max(attempt);
+    fn raise_past_attempt(&mut self, task: &str, attempt: u32) {
+        let highest = self.past_attempts.entry(task.to_owned()).or_default();
+        *highest = (*highest).max(attempt);
     }
 
     /// Starts an attempt.
@@ -249,7 +249,7 @@
     /// # Errors
     ///
     /// Refuses what the worker must not run.
-    pub fn start(&mut self, order: Start, now: Duration) -> Result<(), Refused> {
+    pub fn start(&mut self, order: Start, now: Duration) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(order.fence)?;
         let same = |run: &Run| run.task == order.task && run.attempt == order.attempt;
@@ -257,25 +257,25 @@
             return Ok(());
         }
         if self
-            .past
+            .past_attempts
             .get(&order.task)
-            .is_some_and(|past| order.attempt <= *past)
+            .is_some_and(|highest| order.attempt <= *highest)
         {
-            return Err(Refused::Old);
+            return Err(Refusal::StaleAttempt);
         }
         if order.until <= self.clock(now) {
-            return Err(Refused::Late);
+            return Err(Refusal::LeaseExpired);
         }
-        self.until = self.until.max(order.until);
-        if self.runs.len() >= self.room {
-            return Err(Refused::Room);
+        self.lease_until = self.lease_until.max(order.until);
+        if self.runs.len() >= self.max_runs {
+            return Err(Refusal::NoCapacity);
         }
         self.runs.push(Run {
             task: order.task,
             attempt: order.attempt,
             began: now,
-            ends: order.work.map(|work| now + work),
-            stops: None,
+            ends_at: order.duration.map(|duration| now + duration),
+            stops_at: None,
             fails: order.fails,
         });
         Ok(())
@@ -292,7 +292,7 @@
         attempt: u32,
         fence: u64,
         now: Duration,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(fence)?;
         let found = self
@@ -302,10 +302,10 @@
         match found {
             Some(found) => {
                 let stops = now + self.stop_time;
-                self.runs[found].stops.get_or_insert(stops);
+                self.runs[found].stops_at.get_or_insert(stops);
                 self.advance(now);
             }
-            None => self.raise(task, attempt),
+            None => self.raise_past_attempt(task, attempt),
         }
         Ok(())
     }
@@ -315,38 +315,38 @@
     /// # Errors
     ///
     /// Refuses a lower fence.
-    pub fn hold(
+    pub fn renew_lease(
         &mut self,
         until: Option<u64>,
         fence: u64,
         acknowledged: u64,
         now: Duration,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(fence)?;
         for end in self.ends.iter().filter(|end| end.number <= acknowledged) {
-            if let Some(&at) = self.listed.get(&end.number) {
-                self.history[at].noted = true;
+            if let Some(&at) = self.unacknowledged.get(&end.number) {
+                self.history[at].acknowledged = true;
             }
         }
         self.ends.retain(|end| end.number > acknowledged);
         if let Some(until) = until {
-            self.until = self.until.max(until);
+            self.lease_until = self.lease_until.max(until);
         }
         Ok(())
     }
 
     /// Ends this life with all that it runs.
-    pub fn die(&mut self, now: Duration) {
+    pub fn terminate(&mut self, now: Duration) {
         self.advance(now);
         for run in core::mem::take(&mut self.runs) {
-            self.history.push(Interval {
+            self.history.push(Execution {
                 task: run.task,
                 attempt: run.attempt,
                 began: run.began,
                 ended: now,
-                how: "died",
-                noted: false,
+                outcome: "died",
+                acknowledged: false,
             });
         }
     }
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -24,7 +24,7 @@
     /// Percentage of requests that are delayed.
     pub delay_percent: u8,
     /// Percentage of appends that take effect and whose connection then closes without an answer.
-    pub lost_percent: u8,
+    pub lost_answer_percent: u8,
     /// Age of the host list that is shown.
     pub host_lag: Duration,
 }
--- a/crates/standin/src/platform/service.rs
+++ b/crates/standin/src/platform/service.rs
@@ -89,7 +89,7 @@
     }
     let mut store = lock(store);
     let offset = store.append(stream, record.into_owned());
-    let percent = store.faults.lost_percent;
+    let percent = store.faults.lost_answer_percent;
     if percent > 0 && store.draw(percent) {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
--- a/crates/tool/src/demo/jobs/deployment.rs
+++ b/crates/tool/src/demo/jobs/deployment.rs
@@ -140,9 +140,9 @@
         .body(Full::new(Bytes::from(body)))
         .ok()?;
     let limits = Limits {
-        connect: CONNECT,
-        answer: ANSWER,
-        bytes: ANSWER_BYTES,
+        connect_timeout: CONNECT,
+        response_timeout: ANSWER,
+        max_response_bytes: ANSWER_BYTES,
     };
     let answer = Connection::new(address).call(request, limits).await.ok()?;
     let body = String::from_utf8_lossy(&answer.body).into_owned();
--- a/crates/tool/src/demo/jobs/report.rs
+++ b/crates/tool/src/demo/jobs/report.rs
@@ -8,7 +8,7 @@
     },
     time::Duration, //
 };
-use sassafrascrank_standin::cluster::Interval;
+use sassafrascrank_standin::cluster::Execution;
 use std::collections::BTreeMap;
 
 /// What became of jobs and tasks.
@@ -31,9 +31,9 @@
 
 impl Kept {
     /// Counts tasks by the runs that runners have seen.
-    pub fn count_runs(&mut self, history: &[Interval]) {
+    pub fn count_runs(&mut self, history: &[Execution]) {
         let mut done: BTreeMap<&str, usize> = BTreeMap::new();
-        for run in history.iter().filter(|run| run.how == "done") {
+        for run in history.iter().filter(|run| run.outcome == "done") {
             *done.entry(&run.task).or_default() += 1;
         }
         self.tasks = done.len();
--- a/crates/tool/tests/jobs.rs
+++ b/crates/tool/tests/jobs.rs
@@ -11,7 +11,7 @@
     },
     record,
 };
-use sassafrascrank_standin::cluster::Interval;
+use sassafrascrank_standin::cluster::Execution;
 use sassafrascrank_tool::{
     demo::jobs::{
         Kept,
@@ -147,14 +147,14 @@
     assert!(Shown::of(&state, Id(9)).is_none());
 }
 
-fn run(task: &str, began: u64, ended: u64, how: &'static str) -> Interval {
-    Interval {
+fn run(task: &str, began: u64, ended: u64, outcome: &'static str) -> Execution {
+    Execution {
         task: task.to_owned(),
         attempt: 1,
         began: Duration::from_millis(began),
         ended: Duration::from_millis(ended),
-        how,
-        noted: true,
+        outcome,
+        acknowledged: true,
     }
 }
 
