--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that is opened again after a failure.
+//! An HTTP/1.1 client connection that reconnects after a failure.
 
 use crate::Failure;
 use bytes::Bytes;
@@ -26,182 +26,184 @@
     time::timeout, //
 };
 
-/// Time without an acknowledgement after which the system gives up a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Time that sent data may stay unacknowledged before the operating system closes the connection.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A request with its whole body.
 pub type Message = Request<Full<Bytes>>;
 
-/// Bounds of one call.
+/// Limits of one call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Time for opening a connection.
     pub connect_timeout: Duration,
-    /// Time from sending the request to the end of the answer.
+    /// Time from sending the request to the end of the response body.
     pub response_timeout: Duration,
-    /// Largest answer in bytes.
+    /// Largest response body in bytes.
     pub max_response_bytes: usize,
 }
 
-/// The whole answer to one request.
+/// A response with its whole body.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// Whole body.
     pub body: Bytes,
 }
 
-/// Why one connection gave no whole answer.
-enum Refused {
-    /// It did not begin to send the request.
+/// Why a request got no complete response on one connection.
+enum AttemptError {
+    /// No byte of the request was sent, so it can be sent again on another connection.
     Unsent(Box<Message>, String),
     /// The request may have taken effect.
     Failed(Failure),
 }
 
-/// A live connection; its end also ends the task that drives it.
-struct Link {
+/// An open connection. Dropping it stops the task that drives it, which closes the socket.
+struct Transport {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for Transport {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// One connection that is opened again after a failure.
+/// A client connection that reconnects after a failure.
 pub struct Connection {
     address: SocketAddr,
-    link: Option<Link>,
+    transport: Option<Transport>,
 }
 
 impl Connection {
-    /// Makes a connection that opens at its first call. It must be used on a `tokio` runtime.
+    /// Creates a connection that opens at its first call. It must be used on a `tokio` runtime.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            link: None,
+            transport: None,
         }
     }
 
-    /// Returns the address of the other side.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns whether the connection is open, as far as it has noticed.
+    /// Returns whether the connection is open. A closing by the server may not have been noticed yet.
     pub fn is_open(&self) -> bool {
-        let link = self.link.as_ref();
-        link.is_some_and(|link| !link.sender.is_closed())
+        let transport = self.transport.as_ref();
+        transport.is_some_and(|transport| !transport.sender.is_closed())
     }
 
-    /// Sends a request and reads the whole answer. The connection stays open only after a whole answer.
+    /// Sends a request and reads the whole response. After any failure the connection is closed.
     ///
     /// # Errors
     ///
-    /// Tells whether the request may have taken effect.
+    /// The failure tells whether the request may have taken effect, see [`Failure::may_have_effect`].
     pub async fn call(&mut self, request: Message, limits: Limits) -> Result<Response, Failure> {
-        if self.link.is_some() {
-            // Lets the task of the connection see that the other side closed it; otherwise the request would be
-            // written to it and count as sent.
+        if self.transport.is_some() {
+            // Lets the connection's task notice that the server has closed it. Otherwise the request would be written
+            // to the closed connection and count as sent.
             tokio::task::yield_now().await;
         }
-        let unsent = match self.link.take() {
-            // The other side may have closed the connection while it was idle; the request then goes out at once on
-            // a new one, since it was not sent.
-            Some(link) => match self.attempt(link, request, limits).await {
-                Err(Refused::Unsent(request, _)) => request,
-                Err(Refused::Failed(failure)) => return Err(failure),
+        let unsent = match self.transport.take() {
+            // The server may have closed the connection while it was idle. The request was not sent then, so it is
+            // sent on a new connection.
+            Some(transport) => match self.attempt(transport, request, limits).await {
+                Err(AttemptError::Unsent(request, _)) => request,
+                Err(AttemptError::Failed(failure)) => return Err(failure),
                 Ok(response) => return Ok(response),
             },
             None => Box::new(request),
         };
-        let link = self.connect(limits.connect_timeout).await?;
-        let result = self.attempt(link, *unsent, limits).await;
-        result.map_err(|refused| match refused {
-            Refused::Unsent(_, reason) => Failure::Unsent(reason),
-            Refused::Failed(failure) => failure,
+        let transport = self.connect(limits.connect_timeout).await?;
+        let result = self.attempt(transport, *unsent, limits).await;
+        result.map_err(|error| match error {
+            AttemptError::Unsent(_, reason) => Failure::Unsent(reason),
+            AttemptError::Failed(failure) => failure,
         })
     }
 
     async fn attempt(
         &mut self,
-        mut link: Link,
+        mut transport: Transport,
         request: Message,
         limits: Limits,
-    ) -> Result<Response, Refused> {
-        let exchange = exchange(&mut link.sender, request, limits.max_response_bytes);
+    ) -> Result<Response, AttemptError> {
+        let exchange = exchange(&mut transport.sender, request, limits.max_response_bytes);
         let Ok(result) = timeout(limits.response_timeout, exchange).await else {
-            return Err(Refused::Failed(Failure::Timeout {
+            return Err(AttemptError::Failed(Failure::Timeout {
                 sent: true,
                 after: limits.response_timeout,
             }));
         };
         let response = result?;
-        self.link = Some(link);
+        self.transport = Some(transport);
         Ok(response)
     }
 
-    async fn connect(&self, limit: Duration) -> Result<Link, Failure> {
-        let stream = within(limit, TcpStream::connect(self.address)).await?;
-        configure(&stream).map_err(|error| Failure::Unsent(error.to_string()))?;
+    async fn connect(&self, limit: Duration) -> Result<Transport, Failure> {
+        let stream = connect_within(limit, TcpStream::connect(self.address)).await?;
+        set_socket_options(&stream).map_err(|error| Failure::Unsent(error.to_string()))?;
         let handshake = http1::handshake(TokioIo::new(stream));
-        let (sender, driver) = within(limit, handshake).await?;
+        let (sender, driver) = connect_within(limit, handshake).await?;
         let driver = tokio::spawn(async move {
-            // An error of the driver also reaches the request in flight, which reports it.
+            // The request in flight gets the same error and reports it.
             let _ = driver.await;
         });
         let driver = driver.abort_handle();
-        Ok(Link { sender, driver })
+        Ok(Transport { sender, driver })
     }
 }
 
-/// Sets the options of a new connection.
-fn configure(stream: &TcpStream) -> std::io::Result<()> {
-    // Without this, a small request waits for the acknowledgement of the one before.
+/// Sets the options of a new socket.
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
+    // Nagle's algorithm would hold back a small request until the one before is acknowledged.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    // A request that was given up must not arrive later: closing discards what a partition holds back, also when the
-    // process is killed.
+    // A request that timed out must not arrive later. With a linger time of zero, closing the socket discards data that
+    // a network partition has held back, also when the process is killed.
     socket.set_linger(Some(Duration::ZERO))?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT))
 }
 
 async fn exchange(
     sender: &mut http1::SendRequest<Full<Bytes>>,
     request: Message,
     limit: usize,
-) -> Result<Response, Refused> {
-    let answer = match sender.try_send_request(request).await {
-        Ok(answer) => answer,
+) -> Result<Response, AttemptError> {
+    let response = match sender.try_send_request(request).await {
+        Ok(response) => response,
         Err(mut error) => {
-            // `hyper` gives back a message that it did not begin to write.
+            // `hyper` returns the request if it has not begun to write it.
             let message = error.take_message();
             let reason = error.into_error().to_string();
             return Err(match message {
-                Some(request) => Refused::Unsent(Box::new(request), reason),
-                None => Refused::Failed(Failure::ConnectionLost(reason)),
+                Some(request) => AttemptError::Unsent(Box::new(request), reason),
+                None => AttemptError::Failed(Failure::ConnectionLost(reason)),
             });
         }
     };
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), limit).collect().await;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), limit).collect().await;
     match body {
         Ok(body) => Ok(Response {
             status,
             body: body.to_bytes(),
         }),
         Err(error) if error.is::<LengthLimitError>() => {
-            Err(Refused::Failed(Failure::ResponseTooLarge(limit)))
+            Err(AttemptError::Failed(Failure::ResponseTooLarge(limit)))
         }
-        Err(error) => Err(Refused::Failed(Failure::ConnectionLost(error.to_string()))),
+        Err(error) => Err(AttemptError::Failed(Failure::ConnectionLost(
+            error.to_string(),
+        ))),
     }
 }
 
-async fn within<T, E: ToString>(
+async fn connect_within<T, E: ToString>(
     limit: Duration,
     attempt: impl Future<Output = Result<T, E>>,
 ) -> Result<T, Failure> {
--- a/crates/client/src/failure.rs
+++ b/crates/client/src/failure.rs
@@ -1,32 +1,34 @@
-//! Why a request has no whole answer.
+//! Reasons why a request got no complete response.
 
 use core::time::Duration;
 
-/// Why a request has no whole answer.
+/// Why a request got no complete response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Failure {
-    /// No connection could be had, so the request was not sent.
+    /// The request was not sent, because it is invalid or there was no connection for it.
     #[error("the request was not sent ({0}): try again later")]
     Unsent(String),
-    /// The connection failed after the request was sent.
-    #[error("the connection failed after the request was sent ({0}): check its effect")]
+    /// The connection failed after at least a part of the request was sent.
+    #[error(
+        "the connection failed after the request was sent ({0}): check the effect of the request"
+    )]
     ConnectionLost(String),
-    /// There was no connection, or no answer, in time.
-    #[error("no answer came within {} ms: check the effect if it was sent", after.as_millis())]
+    /// The connection could not be opened, or the response did not arrive, in time.
+    #[error("no response arrived within {} ms: check the effect of the request if it was sent", after.as_millis())]
     Timeout {
-        /// The request was sent.
+        /// Whether the request may have been sent.
         sent: bool,
-        /// How long the client waited.
+        /// Time that the client waited.
         after: Duration,
     },
-    /// The answer is too large.
-    #[error("the answer has more than {0} bytes: ask for less")]
+    /// The response body exceeds this number of bytes.
+    #[error("the response has more than {0} bytes: request less")]
     ResponseTooLarge(usize),
 }
 
 impl Failure {
-    /// Tells whether the request may have taken effect.
+    /// Returns whether the request may have taken effect.
     pub fn may_have_effect(&self) -> bool {
         match self {
             Self::Unsent(_) => false,
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to many addresses, a few to each.
+//! A pool of connections with a limit for each address.
 
 use crate::{
     Connection,
@@ -22,33 +22,34 @@
 };
 
 /// Connections to one address.
-struct Site {
+struct AddressPool {
     permits: Rc<Semaphore>,
     idle: Vec<Connection>,
 }
 
-/// Connections to many addresses, at most a few to each. It belongs to one thread.
+/// Connections to many addresses, with a limit for each address. The pool can be used by one thread only.
 pub struct Pool {
-    sites: RefCell<HashMap<SocketAddr, Site>>,
-    width: usize,
-    wait: Duration,
+    addresses: RefCell<HashMap<SocketAddr, AddressPool>>,
+    max_per_address: usize,
+    acquire_timeout: Duration,
 }
 
 impl Pool {
-    /// Makes a pool of at most `width` connections to each address. A request that gets none within `wait` is not sent.
-    pub fn new(width: usize, wait: Duration) -> Self {
+    /// Creates a pool of at most `max_per_address` connections to each address. A request that waits longer than
+    /// `acquire_timeout` for a connection is not sent.
+    pub fn new(max_per_address: usize, acquire_timeout: Duration) -> Self {
         Self {
-            sites: RefCell::default(),
-            width,
-            wait,
+            addresses: RefCell::default(),
+            max_per_address,
+            acquire_timeout,
         }
     }
 
-    /// Sends a request on an idle connection or on a new one, and waits for one if all are in use.
+    /// Sends a request on an idle connection or on a new one. Waits for a connection if all are in use.
     ///
     /// # Errors
     ///
-    /// Tells whether the request may have taken effect.
+    /// The failure tells whether the request may have taken effect, see [`Failure::may_have_effect`].
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -56,44 +57,46 @@
         limits: Limits,
     ) -> Result<Response, Failure> {
         let permits = self.permits(address);
-        let _permit = match timeout(self.wait, permits.acquire()).await {
+        let _permit = match timeout(self.acquire_timeout, permits.acquire()).await {
             Ok(Ok(permit)) => permit,
             Ok(Err(_)) => return Err(Failure::Unsent("the pool is closed".to_owned())),
             Err(_) => return Err(Failure::Unsent("all connections are in use".to_owned())),
         };
-        let mut connection = self.take(address);
+        let mut connection = self.take_idle(address);
         let result = connection.call(request, limits).await;
         if connection.is_open()
-            && let Some(site) = self.sites.borrow_mut().get_mut(&address)
+            && let Some(entry) = self.addresses.borrow_mut().get_mut(&address)
         {
-            site.idle.push(connection);
+            entry.idle.push(connection);
         }
         result
     }
 
-    /// Closes the idle connections to an address that is no longer in use.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, address: SocketAddr) {
-        self.sites.borrow_mut().remove(&address);
+        self.addresses.borrow_mut().remove(&address);
     }
 
     /// Closes all idle connections.
     pub fn close_all_idle(&self) {
-        self.sites.borrow_mut().clear();
+        self.addresses.borrow_mut().clear();
     }
 
     fn permits(&self, address: SocketAddr) -> Rc<Semaphore> {
-        let mut sites = self.sites.borrow_mut();
-        let site = sites.entry(address).or_insert_with(|| Site {
-            permits: Rc::new(Semaphore::new(self.width)),
+        let mut addresses = self.addresses.borrow_mut();
+        let entry = addresses.entry(address).or_insert_with(|| AddressPool {
+            permits: Rc::new(Semaphore::new(self.max_per_address)),
             idle: Vec::new(),
         });
-        Rc::clone(&site.permits)
+        Rc::clone(&entry.permits)
     }
 
-    /// Returns the connection that was used last, since it is the least likely to have been closed.
-    fn take(&self, address: SocketAddr) -> Connection {
-        let mut sites = self.sites.borrow_mut();
-        let idle = sites.get_mut(&address).and_then(|site| site.idle.pop());
+    /// Returns the idle connection that was used last, which the server is least likely to have closed, or a new one.
+    fn take_idle(&self, address: SocketAddr) -> Connection {
+        let mut addresses = self.addresses.borrow_mut();
+        let idle = addresses
+            .get_mut(&address)
+            .and_then(|entry| entry.idle.pop());
         idle.unwrap_or_else(|| Connection::new(address))
     }
 }
--- a/crates/client/tests/pool.rs
+++ b/crates/client/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Requests that find all connections in use.
+//! Limits of the pool, and closing of its idle connections.
 
 use bytes::Bytes;
 use core::time::Duration;
@@ -16,7 +16,7 @@
     net::TcpListener,
 };
 
-/// Guards against requests that pile up behind one without an answer and are sent long after they made sense.
+/// Guards against requests that queue behind an unanswered one and are sent long after the caller needed them.
 #[test]
 fn request_without_a_free_connection_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
@@ -44,18 +44,18 @@
     });
     let failure = result.map(|result| result.map(|answer| answer.status));
     let Some(Err(failure)) = failure else {
-        panic!("nobody answers, but {failure:?}");
+        panic!("the server never responds, but the result is {failure:?}");
     };
     assert!(matches!(failure, Failure::Unsent(_)), "{failure:?}");
 }
 
-/// Guards against descriptors that stay in use for addresses which nobody calls any more.
+/// Guards against open file descriptors for addresses that are no longer called.
 #[test]
-fn idle_connections_can_be_closed() {
+fn idle_connections_are_closed_on_request() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener.local_addr().expect("the listener is bound");
     let server = std::thread::spawn(move || {
-        let mut ends = Vec::new();
+        let mut closed = Vec::new();
         for _ in 0..2 {
             let (mut stream, _) = listener.accept().expect("the client connects");
             let mut buffer = [0; 1_024];
@@ -63,10 +63,10 @@
             assert!(read > 0, "the request is not empty");
             let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
             stream.write_all(answer).expect("the client reads");
-            // The end of the stream, or a reset, shows that the client has closed it.
-            ends.push(matches!(stream.read(&mut buffer), Ok(0) | Err(_)));
+            // The end of the stream, or a reset, shows that the client has closed the connection.
+            closed.push(matches!(stream.read(&mut buffer), Ok(0) | Err(_)));
         }
-        ends
+        closed
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/client/tests/reset.rs
+++ b/crates/client/tests/reset.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request that was given up.
+//! Cancellation of a request that timed out.
 
 use bytes::Bytes;
 use core::time::Duration;
@@ -16,10 +16,10 @@
     net::TcpListener,
 };
 
-/// Guards against a request that arrives seconds after it was given up, because the system went on sending it. The
-/// other side of a connection that is closed in this way sees a reset instead of an end.
+/// Guards against a request that the operating system delivers seconds after it timed out. The server sees a reset
+/// instead of the end of the stream when the client discards unsent data.
 #[test]
-fn connection_of_a_request_without_an_answer_is_reset() {
+fn connection_of_a_timed_out_request_is_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener.local_addr().expect("the listener is bound");
     let server = std::thread::spawn(move || {
