--- a/crates/platform/examples/snapshot.rs
+++ b/crates/platform/examples/snapshot.rs
@@ -1,4 +1,4 @@
-//! Measures the encoded size of a snapshot at the target size, and the time to encode and decode it.
+//! Measures the encoded size of a snapshot of a configuration at the target size, and the time to encode and decode it.
 //!
 //! Run with `cargo run --release -p sassafrascrank-platform --example snapshot`.
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// A document at the target size; each contract covers five pools and has three classes.
+/// Returns a document at the target size. Each contract covers five pools and has three classes.
 fn document() -> String {
     let mut text = "{\"customers\": {".to_owned();
     let classes: Vec<String> = ["preview", "normal", "overnight"]
--- a/crates/platform/src/api/directory.rs
+++ b/crates/platform/src/api/directory.rs
@@ -10,13 +10,13 @@
 /// Whether a host takes new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Condition {
-    /// It does.
+    /// It takes new work.
     Live,
-    /// It finishes its work and then goes away.
+    /// It finishes the work that it has and then leaves.
     Leaving,
 }
 
-/// A host as the platform knows it, some time ago.
+/// A host in the platform's list, which may lag behind the actual state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Host {
     /// Name of the host.
@@ -35,10 +35,10 @@
 
 /// The platform's host list.
 pub trait Directory {
-    /// Returns the live and leaving hosts, or `None` if they are those of the last call that succeeded.
+    /// Returns the live and leaving hosts, or `None` if they have not changed since the last successful call.
     ///
     /// # Errors
     ///
-    /// The last list stays usable when this one can't be had.
+    /// Fails if the list can't be read; the list of the last successful call stays usable.
     fn hosts(&mut self) -> impl Future<Output = Result<Option<Vec<Host>>, Error>> + Send;
 }
--- a/crates/platform/src/api/error.rs
+++ b/crates/platform/src/api/error.rs
@@ -1,4 +1,4 @@
-//! Why the platform did not answer as asked.
+//! Errors of calls to the platform.
 
 use sassafrascrank_base::prelude::*;
 
@@ -6,45 +6,45 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The platform can't be reached, or it failed.
+    /// The platform can't be reached, or it reported a failure of its own.
     #[error("the platform is unavailable ({reason}): check its address and try again later")]
     Unavailable {
         /// Whether the request may have taken effect.
         sent: bool,
-        /// What was seen.
+        /// Cause, for operators.
         reason: String,
     },
-    /// The platform did not answer in time.
-    #[error("the platform did not answer within {} ms: try again later", after.as_millis())]
+    /// The platform did not respond in time.
+    #[error("the platform did not respond within {} ms: try again later", after.as_millis())]
     Timeout {
         /// Whether the request may have taken effect.
         sent: bool,
-        /// How long the client waited.
+        /// Time that the client waited.
         after: Duration,
     },
-    /// The record at the asked offset is no longer retained.
+    /// The record at the requested offset is no longer retained.
     #[error("the record has expired: read from offset {first} on")]
     Expired {
         /// First retained offset.
         first: u64,
     },
-    /// A request or an answer holds a value that does not fit.
+    /// A request or a response contains an invalid value.
     #[error("field {field}: value {value} is not allowed: {remedy}")]
     Malformed {
         /// Name of the field.
         field: String,
-        /// Value as it was given, shortened.
+        /// The invalid value, truncated.
         value: String,
-        /// What to do about it.
+        /// How to correct it.
         remedy: String,
     },
 }
 
-/// Longest quoted value in characters.
+/// Length in characters to which quoted values are truncated.
 const QUOTE_LIMIT: usize = 80;
 
 impl Error {
-    /// Makes a [`Malformed`](Self::Malformed) and shortens the value.
+    /// Creates a [`Malformed`](Self::Malformed) error and truncates the value.
     pub fn malformed(field: &str, value: impl ToString, remedy: impl Into<String>) -> Self {
         Self::Malformed {
             field: field.to_owned(),
--- a/crates/platform/src/api/log.rs
+++ b/crates/platform/src/api/log.rs
@@ -6,11 +6,11 @@
     future::Future, //
 };
 
-/// Largest record in bytes. A snapshot at the target size takes a fraction of it; `docs/design-ledger.md` has
-/// the measured sizes.
+/// Largest record in bytes. A snapshot of a configuration at the target size takes a fraction of it;
+/// `docs/design-ledger.md` lists the sizes.
 pub const RECORD_LIMIT: usize = 8 << 20;
 
-/// Streams of the log; each has offsets of its own, from 1.
+/// Streams of the log. Each has its own offsets, which start at 1.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Stream {
     /// Contracts, pools and host assignments.
@@ -20,7 +20,7 @@
 }
 
 impl Stream {
-    /// Returns the name in the platform's interface.
+    /// Returns the name of the stream in the platform's interface.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Config => "config",
@@ -38,9 +38,9 @@
 /// One record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item {
-    /// Its offset.
+    /// Offset in the stream.
     pub offset: u64,
-    /// Its JSON text.
+    /// JSON text.
     pub body: Box<str>,
 }
 
@@ -49,9 +49,9 @@
 pub struct Page {
     /// First retained offset; one more than `end` if nothing is retained.
     pub first: u64,
-    /// Offset of the newest record, 0 for a new stream.
+    /// Offset of the newest record; 0 for a new stream.
     pub end: u64,
-    /// Records from the asked offset on, fewer than asked for at the end.
+    /// Records from the requested offset on; fewer than requested if the stream ends there.
     pub records: Vec<Item>,
 }
 
--- a/crates/platform/src/api/mod.rs
+++ b/crates/platform/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What the system asks of the platform.
+//! Traits and types for the platform's log and host list.
 
 mod directory;
 mod error;
--- a/crates/platform/src/append/appender.rs
+++ b/crates/platform/src/append/appender.rs
@@ -1,4 +1,4 @@
-//! State machine of a writer's appends to one stream.
+//! State machine that appends the records of one writer to one stream.
 
 use crate::api::Error;
 use sassafrascrank_base::{
@@ -8,44 +8,44 @@
 use sassafrascrank_ledger::Origin;
 use std::collections::VecDeque;
 
-/// Most records that wait to be appended or seen. One entry process appends a few a minute at most.
+/// Largest number of records in the queue. An entry process appends at most a few records a minute.
 pub const QUEUE_LIMIT: usize = 64;
-/// Mean wait before the first retry.
-const BACKOFF_START: Duration = Duration::from_millis(100);
-/// Longest wait before a retry, half of the time in which a change must be in force everywhere.
-const BACKOFF_LIMIT: Duration = Duration::from_secs(4);
+/// Upper bound of the random delay before the first retry; it doubles with each failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Upper bound of the delay before any retry. It is half of the time within which a change must be in force everywhere.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Step of the state of SplitMix64.
-const RANDOM_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Increment of the state of the SplitMix64 generator.
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The queue is full.
+/// The queue of records is full.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error("{QUEUE_LIMIT} records wait to be appended: try again when the log is available")]
 pub struct Full;
 
-/// What became of a record.
+/// Progress of a record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The log answered with its offset.
+    /// The log has stored it.
     Appended {
         /// Sequence of the record.
         sequence: u64,
-        /// Its offset.
+        /// Offset of the record.
         offset: u64,
     },
-    /// It was read back.
+    /// The reader found it in the log.
     ReadBack {
         /// Sequence of the record.
         sequence: u64,
-        /// Its first offset.
+        /// Offset of its first copy.
         offset: u64,
     },
-    /// The log refuses it for good.
+    /// The log rejects it, and a retry would not help.
     Rejected {
         /// Sequence of the record.
         sequence: u64,
-        /// Why.
+        /// Reason for the rejection.
         error: Error,
     },
 }
@@ -56,11 +56,11 @@
     offset: Option<u64>,
 }
 
-/// Appends records of one writer to one stream, one at a time and in the order of their sequences.
+/// Appends the records of one writer to one stream, one at a time and in the order of their sequence numbers.
 ///
-/// A record is repeated with the same origin until the log answers or the record is read back; readers ignore
-/// all but its first copy. The next record waits until then, because readers take a lower sequence after a higher
-/// one for a repeat.
+/// A record is appended again with the same origin until the log responds or the record is read back. Readers ignore
+/// all copies but the first. The next record waits until then, because readers ignore a lower sequence number after a
+/// higher one as a repeat.
 pub struct Appender {
     writer: Name,
     incarnation: u64,
@@ -74,7 +74,7 @@
 }
 
 impl Appender {
-    /// Makes an appender; `seed` varies the waits between processes.
+    /// Creates an appender. Processes with different values of `seed` retry after different delays.
     pub fn new(writer: Name, incarnation: u64, seed: u64) -> Self {
         Self {
             writer,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Queues the record that `encode` makes of its origin, and returns its sequence.
+    /// Queues the record that `encode` returns for its origin, and returns its sequence number.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         Ok(self.sequence)
     }
 
-    /// Returns the record to append now; its result must be given to [`complete`](Self::complete).
+    /// Returns the record to append now, if any. The caller must pass the result to [`complete`](Self::complete).
     pub fn poll(&mut self, now: Time) -> Option<&str> {
         if self.in_flight.is_some() || now < self.retry_at {
             return None;
@@ -122,17 +122,20 @@
         Some(&next.body)
     }
 
-    /// Returns when [`poll`](Self::poll) has something to append, or `None` if that depends on an event.
+    /// Returns the time from which [`poll`](Self::poll) returns a record, or `None` if that depends on another call.
     pub fn wake_at(&self) -> Option<Time> {
         let waits = self.queue.iter().any(|pending| pending.offset.is_none());
         (waits && self.in_flight.is_none()).then_some(self.retry_at)
     }
 
-    /// Takes the result of the append that [`poll`](Self::poll) began.
+    /// Handles the result of the append that [`poll`](Self::poll) started.
     pub fn complete(&mut self, now: Time, result: Result<u64, Error>) -> Option<Event> {
         let sequence = self.in_flight.take()?;
-        // The record may have been read back before its answer came.
-        let position = self.queue.iter().position(|it| it.sequence == sequence);
+        // The record may have been read back before the response arrived.
+        let position = self
+            .queue
+            .iter()
+            .position(|pending| pending.sequence == sequence);
         match result {
             Ok(offset) => {
                 self.failures = 0;
@@ -152,53 +155,57 @@
         }
     }
 
-    /// Takes note of a record that was read, and reports the first copy of each own one.
+    /// Handles a record that was read, and reports the first copy of each record of this appender.
     pub fn observe(&mut self, origin: &Origin, offset: u64) -> Option<Event> {
         if origin.writer != self.writer || origin.incarnation != self.incarnation {
             return None;
         }
         let sequence = origin.sequence;
-        let position = self.queue.iter().position(|it| it.sequence == sequence)?;
+        let position = self
+            .queue
+            .iter()
+            .position(|pending| pending.sequence == sequence)?;
         self.queue.drain(..=position);
         self.failures = 0;
         self.retry_at = Time::MIN;
         Some(Event::ReadBack { sequence, offset })
     }
 
-    /// Drops appended records up to `through`, which the reader passed without seeing them.
+    /// Drops appended records up to the offset `through`, which the reader has passed without reading them, for example
+    /// because they had expired.
     pub fn discard_through(&mut self, through: u64) {
         let passed = |pending: &Pending| pending.offset.is_some_and(|offset| offset <= through);
         self.queue.retain(|pending| !passed(pending));
     }
 
-    /// Returns the number of records that wait to be appended or seen.
+    /// Returns the number of records that wait to be appended or read back.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns whether no record waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Returns how often an append was repeated.
+    /// Returns the number of failed appends that lead to a retry.
     pub fn retries(&self) -> u64 {
         self.retries
     }
 
-    /// Returns a random time between half of the exponential wait and the whole of it.
+    /// Returns a random delay between half of the exponential backoff and the whole of it.
     fn backoff(&mut self) -> Duration {
         let doublings = self.failures.min(16);
         self.failures = self.failures.saturating_add(1);
-        let wait = (BACKOFF_START * (1 << doublings)).min(BACKOFF_LIMIT);
+        let wait = (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
         let half = u64::try_from(wait.as_micros() / 2).unwrap_or(u64::MAX);
-        wait / 2 + Duration::from_micros(self.draw() % half.max(1))
+        wait / 2 + Duration::from_micros(self.next_random() % half.max(1))
     }
 
-    /// Draws the next number of SplitMix64.
-    fn draw(&mut self) -> u64 {
-        let drawn = mix(self.random);
-        self.random = self.random.wrapping_add(RANDOM_INCREMENT);
-        drawn
+    /// Returns the next number of the SplitMix64 generator.
+    fn next_random(&mut self) -> u64 {
+        let number = mix(self.random);
+        self.random = self.random.wrapping_add(SPLITMIX64_INCREMENT);
+        number
     }
 }
--- a/crates/platform/src/append/mod.rs
+++ b/crates/platform/src/append/mod.rs
@@ -1,4 +1,4 @@
-//! Appending records in order, with retries.
+//! Ordered appends with retries.
 
 mod appender;
 
--- a/crates/platform/src/follow/follow.rs
+++ b/crates/platform/src/follow/follow.rs
@@ -1,4 +1,4 @@
-//! One page at a time from the log into the state.
+//! Reading of the log page by page, and application of the records to the ledger state.
 
 use crate::{
     api::{
@@ -14,17 +14,17 @@
     Verdict, //
 };
 
-/// Most records asked for at once.
-pub const PAGE_LIMIT: usize = 256;
+/// Largest number of records requested in one read.
+pub const MAX_PAGE_RECORDS: usize = 256;
 
-/// One record that was folded.
+/// A record that was applied to the state, or ignored as its verdict says.
 #[derive(Clone, Debug)]
 pub struct AppliedRecord {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// Its origin, if it could be decoded.
+    /// Origin of the record, or `None` if it can't be decoded.
     pub origin: Option<Origin>,
-    /// What became of it.
+    /// Effect of the record on the state.
     pub verdict: Verdict,
 }
 
@@ -39,15 +39,19 @@
     pub at_end: bool,
 }
 
-/// Reads and folds one page from the state's next offset on.
+/// Reads one page from the next offset of the state on, and applies its records.
 ///
-/// If that offset has expired, the state is told and nothing is folded; the next call reads on.
+/// If the record at that offset has expired, the state is moved to the first retained offset and no record is applied;
+/// the next call continues there.
 ///
 /// # Errors
 ///
-/// Fails without any effect on the state if the log can't be read.
+/// Fails if the log can't be read; the state is unchanged then.
 pub async fn apply_page<L: Log>(log: &mut L, state: &mut State) -> Result<Progress, Error> {
-    let page = match log.read(Stream::Config, state.next(), PAGE_LIMIT).await {
+    let page = match log
+        .read(Stream::Config, state.next(), MAX_PAGE_RECORDS)
+        .await
+    {
         Ok(page) => page,
         Err(Error::Expired { first }) if first > state.next() => {
             state.expire(first);
@@ -67,7 +71,7 @@
             verdict,
         });
         if adopted {
-            // The state continues behind the snapshot's own offset, so the rest of the page comes again.
+            // The state's next offset has changed, so the rest of the page is read again from there.
             break;
         }
     }
@@ -78,11 +82,11 @@
     })
 }
 
-/// Reads until the end of the stream.
+/// Reads and applies records until the end of the stream.
 ///
 /// # Errors
 ///
-/// Fails if the log can't be read; what was folded until then stays.
+/// Fails if the log can't be read; the records applied until then remain in effect.
 pub async fn catch_up<L: Log>(log: &mut L, state: &mut State) -> Result<Vec<AppliedRecord>, Error> {
     let mut records = Vec::new();
     loop {
--- a/crates/platform/src/follow/mod.rs
+++ b/crates/platform/src/follow/mod.rs
@@ -1,10 +1,10 @@
-//! Reading the stream `config` into a ledger state.
+//! Application of the stream `config` to a ledger state.
 
 mod follow;
 
 pub use follow::{
     AppliedRecord,
-    PAGE_LIMIT,
+    MAX_PAGE_RECORDS,
     Progress,
     apply_page, //
     catch_up,
--- a/crates/platform/src/http/client.rs
+++ b/crates/platform/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's log and host list.
+//! HTTP client of the platform's log and host list.
 
 use crate::{
     api::{
@@ -32,14 +32,14 @@
 /// Time limits of one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// For opening a connection.
+    /// Time for opening a connection.
     pub connect_timeout: Duration,
-    /// From sending the request to the end of the answer.
+    /// Time from sending the request to the end of the response.
     pub response_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Leaves time for two tries within the 8 s in which a change must be in force.
+    /// Returns limits that leave time for two attempts within the 8 s in which a change must be in force.
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_secs(1),
@@ -48,21 +48,21 @@
     }
 }
 
-/// Largest answer in bytes; it holds a record of the largest size and its frame.
-const RESPONSE_LIMIT: usize = 2 * RECORD_LIMIT;
+/// Largest response in bytes. A record of the largest size and its JSON frame fit into it.
+const MAX_RESPONSE_BYTES: usize = 2 * RECORD_LIMIT;
 
-/// Why there is no answer that can be used.
-enum Trouble {
-    /// The answer is larger than [`RESPONSE_LIMIT`].
-    Large,
+/// Why a call returned no usable response.
+enum CallError {
+    /// The response exceeds [`MAX_RESPONSE_BYTES`].
+    ResponseTooLarge,
     /// Any other error.
     Call(Error),
 }
 
-impl From<Failure> for Trouble {
+impl From<Failure> for CallError {
     fn from(failure: Failure) -> Self {
         Self::Call(match failure {
-            Failure::ResponseTooLarge(_) => return Self::Large,
+            Failure::ResponseTooLarge(_) => return Self::ResponseTooLarge,
             Failure::Unsent(reason) => Error::Unavailable {
                 sent: false,
                 reason,
@@ -73,16 +73,16 @@
     }
 }
 
-/// Client with one connection.
+/// Client of the platform with one connection.
 pub struct Client {
     connection: Connection,
     limits: Limits,
-    /// Host list that was read last, with its version.
+    /// Version and hosts of the list that was read last.
     hosts: Option<(u64, Vec<Host>)>,
 }
 
 impl Client {
-    /// Makes a client that connects at its first call. It must be used on a `tokio` runtime.
+    /// Creates a client that connects at its first call. It must be used on a `tokio` runtime.
     pub fn new(address: SocketAddr, limits: Limits) -> Self {
         Self {
             connection: Connection::new(address),
@@ -91,12 +91,17 @@
         }
     }
 
-    /// Returns whether a connection is open, as far as the client has noticed.
+    /// Returns whether the connection is open. A closing by the platform may not have been noticed yet.
     pub fn is_connected(&self) -> bool {
         self.connection.is_open()
     }
 
-    async fn call(&mut self, method: Method, path: &str, body: Bytes) -> Result<Response, Trouble> {
+    async fn call(
+        &mut self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<Response, CallError> {
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -106,16 +111,16 @@
         }
         let request = request
             .body(Full::new(body))
-            .map_err(|error| Trouble::Call(Error::malformed("path", path, error.to_string())))?;
+            .map_err(|error| CallError::Call(Error::malformed("path", path, error.to_string())))?;
         let limits = sassafrascrank_client::Limits {
             connect_timeout: self.limits.connect_timeout,
             response_timeout: self.limits.response_timeout,
-            max_response_bytes: RESPONSE_LIMIT,
+            max_response_bytes: MAX_RESPONSE_BYTES,
         };
         Ok(self.connection.call(request, limits).await?)
     }
 
-    async fn get(&mut self, path: &str) -> Result<Response, Trouble> {
+    async fn get(&mut self, path: &str) -> Result<Response, CallError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 }
@@ -129,11 +134,11 @@
         }
         let path = format!("/streams/{stream}/records");
         let body = Bytes::copy_from_slice(body.as_bytes());
-        let answer = self.call(Method::POST, &path, body).await;
-        let answer = answer.map_err(|failure| convert(failure, true))?;
-        let appended: wire::page::Appended = parse(&answer).map_err(|error| match error {
-            // An answer that can't be read does not say whether the append took effect.
-            Error::Malformed { .. } if answer.status.is_success() => Error::Unavailable {
+        let response = self.call(Method::POST, &path, body).await;
+        let response = response.map_err(|error| api_error(error, true))?;
+        let appended: wire::page::Appended = parse(&response).map_err(|error| match error {
+            // A response that can't be decoded does not tell whether the append took effect.
+            Error::Malformed { .. } if response.status.is_success() => Error::Unavailable {
                 sent: true,
                 reason: error.to_string(),
             },
@@ -146,24 +151,24 @@
         let mut limit = limit.max(1);
         loop {
             let path = format!("/streams/{stream}/records?from={from}&limit={limit}");
-            let answer = match self.get(&path).await {
-                // Large records may stand together, and one alone always fits.
-                Err(Trouble::Large) if limit > 1 => {
+            let response = match self.get(&path).await {
+                // Several large records may exceed the limit together; a single record never does.
+                Err(CallError::ResponseTooLarge) if limit > 1 => {
                     limit /= 2;
                     continue;
                 }
-                answer => answer.map_err(|failure| convert(failure, false))?,
+                response => response.map_err(|error| api_error(error, false))?,
             };
-            if answer.status == StatusCode::NO_CONTENT {
+            if response.status == StatusCode::NO_CONTENT {
                 return Ok(at_end(from));
             }
-            if answer.status == StatusCode::NOT_FOUND {
-                let expired: wire::page::Expired = parse_body(&answer)?;
+            if response.status == StatusCode::NOT_FOUND {
+                let expired: wire::page::Expired = parse_body(&response)?;
                 return Err(Error::Expired {
                     first: expired.first,
                 });
             }
-            let page: wire::page::Page = parse(&answer)?;
+            let page: wire::page::Page = parse(&response)?;
             let page = Page::try_from(page)?;
             return check_start(page, from);
         }
@@ -176,14 +181,14 @@
             Some((version, _)) => format!("/hosts?since={version}"),
             None => "/hosts".to_owned(),
         };
-        let answer = self.get(&path).await;
-        let answer = answer.map_err(|failure| convert(failure, false))?;
-        if answer.status == StatusCode::NO_CONTENT && self.hosts.is_some() {
+        let response = self.get(&path).await;
+        let response = response.map_err(|error| api_error(error, false))?;
+        if response.status == StatusCode::NO_CONTENT && self.hosts.is_some() {
             return Ok(None);
         }
-        // After an answer that can't be used, the next call asks for the whole list.
+        // If the response is unusable, the next call requests the whole list.
         let known = self.hosts.take();
-        let list: wire::host::List = parse(&answer)?;
+        let list: wire::host::List = parse(&response)?;
         let version = list.version;
         let before = known
             .as_ref()
@@ -194,7 +199,7 @@
     }
 }
 
-/// Returns the page of a stream that ends before `from`.
+/// Returns the empty page of a stream that ends directly before `from`.
 fn at_end(from: u64) -> Page {
     Page {
         first: from,
@@ -203,56 +208,56 @@
     }
 }
 
-/// Checks that the records begin where they were asked for.
+/// Checks that the records begin at the requested offset.
 fn check_start(page: Page, from: u64) -> Result<Page, Error> {
     match page.records.first() {
         Some(item) if item.offset != from => {
-            let remedy = format!("answer with records from {from} on");
+            let remedy = format!("respond with records from {from} on");
             Err(Error::malformed("offset", item.offset, remedy))
         }
         None if page.first <= from && from <= page.end => {
-            let remedy = format!("answer with the records from {from} to {}", page.end);
+            let remedy = format!("respond with the records from {from} to {}", page.end);
             Err(Error::malformed("records", "[]", remedy))
         }
         _ => Ok(page),
     }
 }
 
-fn convert(trouble: Trouble, append: bool) -> Error {
-    match trouble {
-        Trouble::Call(error) => error,
-        Trouble::Large if append => Error::Unavailable {
+fn api_error(error: CallError, append: bool) -> Error {
+    match error {
+        CallError::Call(error) => error,
+        CallError::ResponseTooLarge if append => Error::Unavailable {
             sent: true,
-            reason: "the answer is too large".to_owned(),
+            reason: "the response is too large".to_owned(),
         },
-        Trouble::Large => {
-            let value = format!("more than {RESPONSE_LIMIT} bytes");
-            Error::malformed("body", value, "answer with fewer bytes")
+        CallError::ResponseTooLarge => {
+            let value = format!("more than {MAX_RESPONSE_BYTES} bytes");
+            Error::malformed("body", value, "respond with fewer bytes")
         }
     }
 }
 
-/// Decodes a successful answer, and makes an error of any other.
-fn parse<T: DeserializeOwned>(answer: &Response) -> Result<T, Error> {
-    if answer.status.is_success() {
-        return parse_body(answer);
+/// Decodes a successful response, and converts any other into an error.
+fn parse<T: DeserializeOwned>(response: &Response) -> Result<T, Error> {
+    if response.status.is_success() {
+        return parse_body(response);
     }
-    let text = String::from_utf8_lossy(&answer.body);
+    let text = String::from_utf8_lossy(&response.body);
     let busy = [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS];
-    if answer.status.is_client_error() && !busy.contains(&answer.status) {
-        let remedy = format!("the platform refused it with status {}", answer.status);
+    if response.status.is_client_error() && !busy.contains(&response.status) {
+        let remedy = format!("the platform refused it with status {}", response.status);
         return Err(Error::malformed("request", text, remedy));
     }
     Err(Error::Unavailable {
-        // Status 503 says that the server could not handle the request; others leave it open.
-        sent: answer.status != StatusCode::SERVICE_UNAVAILABLE,
-        reason: format!("status {}", answer.status),
+        // Status 503 means that the request had no effect; other statuses leave that open.
+        sent: response.status != StatusCode::SERVICE_UNAVAILABLE,
+        reason: format!("status {}", response.status),
     })
 }
 
-fn parse_body<T: DeserializeOwned>(answer: &Response) -> Result<T, Error> {
-    serde_json::from_slice(&answer.body).map_err(|error| {
-        let text = String::from_utf8_lossy(&answer.body);
-        Error::malformed("body", text, format!("answer as documented: {error}"))
+fn parse_body<T: DeserializeOwned>(response: &Response) -> Result<T, Error> {
+    serde_json::from_slice(&response.body).map_err(|error| {
+        let text = String::from_utf8_lossy(&response.body);
+        Error::malformed("body", text, format!("respond as documented: {error}"))
     })
 }
--- a/crates/platform/src/http/mod.rs
+++ b/crates/platform/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP interface.
+//! Client of the platform's HTTP interface.
 
 mod client;
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,5 @@
-//! The platform's log and host list: traits, HTTP client, wire types, appending and publishing.
+//! The platform's log and host list: traits, HTTP client, wire types, appends with retries, and publication of
+//! configuration changes.
 
 pub mod api;
 pub mod append;
--- a/crates/platform/src/publish/mod.rs
+++ b/crates/platform/src/publish/mod.rs
@@ -1,4 +1,4 @@
-//! Publishing a document or decided values for an operator.
+//! Publication of an operator's configuration changes.
 
 mod publish;
 
--- a/crates/platform/src/publish/publish.rs
+++ b/crates/platform/src/publish/publish.rs
@@ -1,4 +1,4 @@
-//! Compare-and-set of a document's values.
+//! Compare-and-set of configuration values through the log.
 
 use crate::{
     api::{
@@ -29,59 +29,59 @@
     timeout, //
 };
 
-/// Wait between reads while the own record is not yet visible.
-const READ_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between reads of the log until the published record appears in it.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What became of the change.
+/// Result of a publication.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It is in force.
+    /// The change is in force.
     Accepted {
-        /// Its offset.
+        /// Offset of the change.
         offset: u64,
-        /// Subjects that it set.
+        /// Subjects whose values the change set.
         subjects: Vec<Subject>,
     },
-    /// Another writer was faster; nothing of it is in force.
+    /// Another writer has changed a subject in the meantime; no part of the change is in force.
     Stale {
-        /// First subject that had moved.
+        /// First subject that another writer had changed.
         subject: Subject,
         /// Writer of the value in force, if there is one.
         by: Option<Name>,
         /// Offset of that value.
         current: u64,
     },
-    /// It fails its check; nothing of it is in force.
+    /// The change is invalid; no part of it is in force.
     Invalid(ledger::Error),
-    /// The record may be in the log or still arrive there; read the configuration before publishing again.
+    /// The record may be in the log or may still arrive there. Read the configuration before publishing again.
     Unknown {
-        /// Last error seen.
+        /// The last error.
         reason: Option<api::Error>,
     },
 }
 
-/// Nothing was published and nothing will be.
+/// Nothing was published, and no record can arrive later.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The document holds no values, or the list no entries.
+    /// The document contains no values, or the list no entries.
     #[error("the document holds no values: give at least one customer, pool or host")]
     Empty,
     /// The log can't be read or written.
     #[error("nothing was published: {0}")]
     Log(#[from] api::Error),
-    /// The log has lost older records and holds no snapshot.
+    /// Older records of the log have expired and it contains no snapshot.
     #[error(
         "nothing was published: the log begins after offset 1 and holds no snapshot; \
              wait until an entry process has written one"
     )]
     Incomplete,
-    /// The append took longer than allowed and was never sent.
+    /// The time limit expired before the record was sent.
     #[error("nothing was published within {} ms: try again later", .0.as_millis())]
     Timeout(Duration),
 }
 
-/// Publishes the values of `document` on the basis of what is in force now.
+/// Publishes the values of `document` on the basis of the values in force now.
 ///
 /// `incarnation` must differ from that of every earlier call by the same writer; `limit` bounds the whole call.
 /// The future must run on a `tokio` runtime with time enabled.
@@ -100,17 +100,17 @@
         return Err(Error::Empty);
     }
     let start = Instant::now();
-    let state = read(log, limit).await?;
+    let state = read_state(log, limit).await?;
     let entries = entries(document, &state);
     let appender = Appender::new(writer, incarnation, incarnation);
-    let mut attempt = Attempt::new(log, state, appender, start, limit);
-    attempt.push(entries);
-    attempt.run().await
+    let mut publication = Publication::new(log, state, appender, start, limit);
+    publication.push(entries);
+    publication.run().await
 }
 
-/// Publishes `entries` on the bases that they name, so that a decision is not put into force after it became stale.
+/// Publishes `entries` on the bases that they name, so that a decision on outdated values has no effect.
 ///
-/// `incarnation` and `limit` are those of [`publish`], and so is the runtime.
+/// `incarnation`, `limit` and the runtime must meet the requirements of [`publish`].
 ///
 /// # Errors
 ///
@@ -126,14 +126,14 @@
         return Err(Error::Empty);
     }
     let start = Instant::now();
-    let state = read(log, limit).await?;
+    let state = read_state(log, limit).await?;
     let appender = Appender::new(writer, incarnation, incarnation);
-    let mut attempt = Attempt::new(log, state, appender, start, limit);
-    attempt.push(entries);
-    attempt.run().await
+    let mut publication = Publication::new(log, state, appender, start, limit);
+    publication.push(entries);
+    publication.run().await
 }
 
-async fn read<L: Log>(log: &mut L, limit: Duration) -> Result<ledger::State, Error> {
+async fn read_state<L: Log>(log: &mut L, limit: Duration) -> Result<ledger::State, Error> {
     let mut state = ledger::State::new(1);
     let read = timeout(limit, catch_up(log, &mut state)).await;
     read.map_err(|_| Error::Timeout(limit))??;
@@ -154,7 +154,7 @@
         .collect()
 }
 
-struct Attempt<'a, L> {
+struct Publication<'a, L> {
     log: &'a mut L,
     state: ledger::State,
     appender: Appender,
@@ -165,7 +165,7 @@
     reason: Option<api::Error>,
 }
 
-impl<'a, L: Log> Attempt<'a, L> {
+impl<'a, L: Log> Publication<'a, L> {
     fn new(
         log: &'a mut L,
         state: ledger::State,
@@ -186,7 +186,7 @@
 
     fn push(&mut self, entries: Vec<ledger::Entry>) {
         let change = |origin| ledger::Record::Change(ledger::Change { origin, entries });
-        // The queue of a new appender has room.
+        // The queue of a new appender is empty, so it can't be full.
         let _ = self
             .appender
             .push(|origin| wire::config::encode(&change(origin)));
@@ -196,12 +196,12 @@
         while self.start.elapsed() < self.limit {
             self.append().await?;
             if !self.sent {
-                sleep(READ_INTERVAL).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
             match apply_page(self.log, &mut self.state).await {
                 Ok(progress) => {
-                    if let Some(outcome) = self.find(&progress.records) {
+                    if let Some(outcome) = self.find_outcome(&progress.records) {
                         return Ok(outcome);
                     }
                     if !progress.at_end {
@@ -210,7 +210,7 @@
                 }
                 Err(error) => self.reason = Some(error),
             }
-            sleep(READ_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
         match self.reason {
             reason if self.sent => Ok(Outcome::Unknown { reason }),
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Appends the record if it is time to.
+    /// Appends the record if the appender has one to send now.
     async fn append(&mut self) -> Result<(), Error> {
         let now = self.now();
         let Some(body) = self.appender.poll(now) else {
@@ -240,11 +240,11 @@
         }
     }
 
-    /// Returns the outcome if the first copy of the own record is among `steps`.
-    fn find(&mut self, steps: &[AppliedRecord]) -> Option<Outcome> {
-        let own = steps.iter().find(|step| {
-            let origin = step.origin.as_ref();
-            origin.is_some_and(|origin| self.appender.observe(origin, step.offset).is_some())
+    /// Returns the outcome if `records` contain the first copy of the published record.
+    fn find_outcome(&mut self, records: &[AppliedRecord]) -> Option<Outcome> {
+        let own = records.iter().find(|record| {
+            let origin = record.origin.as_ref();
+            origin.is_some_and(|origin| self.appender.observe(origin, record.offset).is_some())
         })?;
         Some(match own.verdict.clone() {
             ledger::Verdict::Accepted { subjects } => Outcome::Accepted {
--- a/crates/platform/src/wire/config.rs
+++ b/crates/platform/src/wire/config.rs
@@ -1,4 +1,4 @@
-//! Serialised records of the stream `config`.
+//! Wire format of the records of the stream `config`.
 
 use super::{
     Error, Origin,
@@ -19,13 +19,13 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// New values.
+    /// New values for some subjects.
     Change(Change),
-    /// Whole state.
+    /// The whole state.
     Snapshot(Snapshot),
 }
 
-/// Values that come into force together.
+/// New values that come into force together.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -43,13 +43,13 @@
 pub struct Entry {
     /// `customer/<name>`, `pool/<name>`, `host/<name>` or `reservation/<pool>`.
     pub subject: String,
-    /// Offset that the writer saw in force.
+    /// Offset of the value that was in force when the writer decided.
     pub basis: u64,
     /// The new value.
     pub value: wire::Value,
 }
 
-/// Whole state.
+/// The whole state at the time of writing.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -62,27 +62,27 @@
     pub image: Image,
 }
 
-/// The whole state at one offset; peers hand it over in the same form.
+/// The whole state at one offset. Peers transfer it in the same format.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Image {
     /// Offset of the last record that it includes.
     pub through: u64,
-    /// Basis of absent subjects.
+    /// Basis of the subjects without a value.
     pub floor: u64,
     /// Values in force and tombstones.
     pub values: Vec<Revision>,
-    /// Writers and their highest sequences.
+    /// Writers and their highest sequence numbers.
     pub writers: Vec<WriterState>,
 }
 
-/// Value in force or tombstone.
+/// Value in force, or the tombstone of a removed value.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Revision {
-    /// What the value is about.
+    /// Subject of the value, as in [`Entry::subject`].
     pub subject: String,
     /// Offset of the change that set it.
     pub offset: u64,
@@ -92,7 +92,7 @@
     pub value: wire::Value,
 }
 
-/// Highest sequence of a writer.
+/// Highest sequence number of a writer.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -101,9 +101,9 @@
     pub writer: String,
     /// Incarnation of the writer.
     pub incarnation: u64,
-    /// Highest sequence.
+    /// Highest sequence number.
     pub sequence: u64,
-    /// Offset of that record.
+    /// Offset of the record with that number.
     pub offset: u64,
 }
 
@@ -116,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// Names field, value and remedy of the first value that does not fit.
+/// Names field, value and remedy of the first invalid value.
 pub fn decode(body: &str) -> Result<ledger::Record, Error> {
     text::decode::<Record, _>(body)
 }
@@ -155,19 +155,19 @@
             through: image.through,
             floor: image.floor,
             values: values
-                .map(|(subject, held)| Revision {
+                .map(|(subject, revision)| Revision {
                     subject: subject.to_string(),
-                    offset: held.offset,
-                    writer: held.writer.to_string(),
-                    value: (&held.value).into(),
+                    offset: revision.offset,
+                    writer: revision.writer.to_string(),
+                    value: (&revision.value).into(),
                 })
                 .collect(),
             writers: writers
-                .map(|seen| WriterState {
-                    writer: seen.writer.to_string(),
-                    incarnation: seen.incarnation,
-                    sequence: seen.sequence,
-                    offset: seen.offset,
+                .map(|state| WriterState {
+                    writer: state.writer.to_string(),
+                    incarnation: state.incarnation,
+                    sequence: state.sequence,
+                    offset: state.offset,
                 })
                 .collect(),
         }
@@ -212,7 +212,7 @@
     type Error = Error;
 
     fn try_from(wire: Image) -> Result<Self, Error> {
-        let values = wire.values.into_iter().map(convert_held);
+        let values = wire.values.into_iter().map(convert_revision);
         let writers = wire.writers.into_iter().map(TryInto::try_into);
         Ok(Self {
             through: wire.through,
@@ -236,14 +236,14 @@
     }
 }
 
-fn convert_held(wire: Revision) -> Result<(model::Subject, ledger::Revision), Error> {
+fn convert_revision(wire: Revision) -> Result<(model::Subject, ledger::Revision), Error> {
     let subject = parse_subject(&wire.subject)?;
-    let held = ledger::Revision {
+    let revision = ledger::Revision {
         offset: wire.offset,
         writer: parse_name("writer", &wire.writer)?,
         value: check_value(&wire.subject, wire.value)?,
     };
-    Ok((subject, held))
+    Ok((subject, revision))
 }
 
 fn parse_subject(text: &str) -> Result<model::Subject, Error> {
--- a/crates/platform/src/wire/host.rs
+++ b/crates/platform/src/wire/host.rs
@@ -1,4 +1,4 @@
-//! Serialised host list.
+//! Wire format of the host list.
 
 use super::{
     Error,
@@ -8,27 +8,27 @@
 use crate::api;
 use std::collections::BTreeSet;
 
-/// Most hosts in one list, five times the target size.
+/// Largest number of hosts in a list, five times the target size.
 pub const HOST_LIMIT: usize = 7_000;
 
 /// Answer to `GET /hosts` and `GET /hosts?since=VERSION`.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct List {
-    /// Number of this list, which the platform never uses for another one; absent if it does not number its lists.
+    /// Version of this list. The platform never reuses a version; it is absent if the platform does not version its lists.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
-    /// Version of the list that this one changes; absent if this one is whole.
+    /// Version of the list to which this one lists the changes; absent if this list is complete.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub since: Option<u64>,
-    /// Live and leaving hosts, or those of them that are new or changed.
+    /// Live and leaving hosts; only the new and changed ones if `since` is present.
     pub hosts: Vec<Host>,
-    /// Names of the hosts that are gone since.
+    /// Names of the hosts removed since that version.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub removed: Vec<String>,
 }
 
-/// One host. Fields that this version does not know are ignored, since the platform may add some.
+/// One host. Unknown fields are ignored, since the platform may add some.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Host {
@@ -84,11 +84,11 @@
 }
 
 impl List {
-    /// Returns the whole list that results from the one before it.
+    /// Returns the complete list. If this list contains changes, they are applied to the version and hosts in `known`.
     ///
     /// # Errors
     ///
-    /// Fails if a value is invalid, if there are too many hosts, or if the changes are not those of `known`.
+    /// Fails if a value is invalid, if there are too many hosts, or if the changes refer to another version than `known`.
     pub fn resolve(self, known: Option<(u64, &[api::Host])>) -> Result<Vec<api::Host>, Error> {
         let hosts = self.hosts.into_iter().map(TryInto::try_into);
         let mut hosts = hosts.collect::<Result<Vec<api::Host>, Error>>()?;
@@ -97,12 +97,12 @@
                 return Err(Error::new("since", since, "use the version asked for"));
             };
             let changed: BTreeSet<_> = hosts.iter().map(|host| host.host.as_str()).collect();
-            let gone: BTreeSet<_> = self.removed.iter().map(String::as_str).collect();
-            let stays = |host: &&api::Host| {
+            let removed: BTreeSet<_> = self.removed.iter().map(String::as_str).collect();
+            let unchanged = |host: &&api::Host| {
                 let name = host.host.as_str();
-                !changed.contains(name) && !gone.contains(name)
+                !changed.contains(name) && !removed.contains(name)
             };
-            let kept: Vec<_> = before.iter().filter(stays).cloned().collect();
+            let kept: Vec<_> = before.iter().filter(unchanged).cloned().collect();
             hosts.extend(kept);
         }
         if hosts.len() > HOST_LIMIT {
--- a/crates/platform/src/wire/member.rs
+++ b/crates/platform/src/wire/member.rs
@@ -1,4 +1,4 @@
-//! Serialised records of the stream `member`.
+//! Wire format of the records of the stream `member`.
 
 use super::{
     Error, Origin,
@@ -20,7 +20,7 @@
     Join(Join),
     /// An entry process stops as planned.
     Leave(Leave),
-    /// Another entry process has not heard from it.
+    /// Another entry process has received nothing from it and removes it.
     Retire(Retire),
 }
 
@@ -54,7 +54,7 @@
     pub incarnation: u64,
 }
 
-/// Another entry process has not heard from it.
+/// Another entry process has received nothing from it and removes it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -65,11 +65,11 @@
     pub host: String,
     /// Incarnation of the process.
     pub incarnation: u64,
-    /// Host that retires it.
+    /// Host of the process that removes it.
     pub by: String,
 }
 
-/// Checked membership record, to be replaced by the type of the crate `claim`.
+/// Validated membership record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Membership {
     /// Identity of the record.
@@ -78,25 +78,25 @@
     pub host: Name,
     /// Incarnation of the process.
     pub incarnation: u64,
-    /// What happened to it.
+    /// Change of its membership.
     pub transition: Transition,
 }
 
-/// What happened to an entry process.
+/// Change of the membership of an entry process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Transition {
-    /// It started.
+    /// The process started.
     Join {
         /// Availability zone.
         zone: Name,
         /// Address for peers.
         address: SocketAddr,
     },
-    /// It stops as planned.
+    /// The process stops as planned.
     Leave,
-    /// It was not heard from.
+    /// Another entry process has received nothing from it and removes it.
     Retire {
-        /// Host that retires it.
+        /// Host of the process that removes it.
         by: Name,
     },
 }
@@ -110,7 +110,7 @@
 ///
 /// # Errors
 ///
-/// Names field, value and remedy of the first value that does not fit.
+/// Names field, value and remedy of the first invalid value.
 pub fn decode(body: &str) -> Result<Membership, Error> {
     text::decode::<Record, _>(body)
 }
--- a/crates/platform/src/wire/mod.rs
+++ b/crates/platform/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Serialised form of records, pages and hosts.
+//! Wire format of records, pages and host lists, and its conversion into validated types.
 
 pub mod config;
 pub mod host;
--- a/crates/platform/src/wire/origin.rs
+++ b/crates/platform/src/wire/origin.rs
@@ -1,4 +1,4 @@
-//! Serialised identity of a record.
+//! Wire format of the identity of a record.
 
 use super::{
     Error,
@@ -6,7 +6,7 @@
 };
 use sassafrascrank_ledger as ledger;
 
-/// Identity of a record.
+/// Identity of a record. Copies of a record have the same origin.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -15,7 +15,7 @@
     pub writer: String,
     /// Incarnation of the writer.
     pub incarnation: u64,
-    /// Number of the record, from 1.
+    /// Number of the record among those of this incarnation, from 1.
     pub sequence: u64,
 }
 
--- a/crates/platform/src/wire/page.rs
+++ b/crates/platform/src/wire/page.rs
@@ -1,10 +1,10 @@
-//! Serialised answers of the log.
+//! Wire format of the log's responses.
 
 use super::Error;
 use crate::api;
 use serde_json::value::RawValue;
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Appended {
@@ -12,7 +12,7 @@
     pub offset: u64,
 }
 
-/// Answer to a read from an expired offset.
+/// Response to a read from an expired offset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Expired {
@@ -20,7 +20,7 @@
     pub first: u64,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Debug)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Page {
@@ -32,7 +32,7 @@
     pub records: Vec<Item>,
 }
 
-/// One record with its text as it was appended, so that a record that can't be decoded spoils no other.
+/// One record with its JSON text as it was appended, so that an undecodable record does not affect the others.
 #[derive(Debug)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct Item {
--- a/crates/platform/src/wire/text.rs
+++ b/crates/platform/src/wire/text.rs
@@ -1,4 +1,4 @@
-//! JSON text into checked values.
+//! Decoding of JSON text into validated values, and encoding.
 
 use crate::api;
 use sassafrascrank_base::name::Name;
@@ -6,24 +6,24 @@
 use sassafrascrank_ledger as ledger;
 use serde::de::DeserializeOwned;
 
-/// Longest quoted value in characters.
+/// Length in characters to which quoted values are truncated.
 const QUOTE_LIMIT: usize = 80;
 
-/// A field holds a value that does not fit.
+/// A field contains an invalid value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error("field {field}: value {value} is not allowed: {remedy}")]
 pub struct Error {
     /// Path of the field.
     pub field: String,
-    /// Value as it was given, shortened.
+    /// The invalid value, truncated.
     pub value: String,
-    /// What to write instead.
+    /// How to correct it.
     pub remedy: String,
 }
 
 impl Error {
-    /// Makes an error and shortens the value.
+    /// Creates an error and truncates the value.
     pub(crate) fn new(field: &str, value: impl ToString, remedy: impl Into<String>) -> Self {
         Self {
             field: field.to_owned(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Puts the name of the surrounding object before the field.
+    /// Prepends the name of the enclosing object to the path of the field.
     pub(crate) fn within(self, object: &str) -> Self {
         Self {
             field: format!("{object}.{}", self.field),
@@ -67,11 +67,11 @@
     }
 }
 
-/// Decodes JSON text and checks its values.
+/// Decodes JSON text into the wire type `W` and converts that into the validated type `D`.
 ///
 /// # Errors
 ///
-/// Names field, value and remedy of the first value that does not fit.
+/// Names field, value and remedy of the first invalid value.
 pub fn decode<W, D>(text: &str) -> Result<D, Error>
 where
     W: DeserializeOwned,
@@ -85,7 +85,7 @@
 
 /// Encodes a wire value as JSON text.
 pub(crate) fn encode(wire: &impl serde::Serialize) -> String {
-    // Wire types have string keys and no failing implementation, so they always encode.
+    // Encoding fails only for maps without string keys and for failing implementations; wire types have neither.
     serde_json::to_string(wire).unwrap_or_default()
 }
 
--- a/crates/platform/tests/append.rs
+++ b/crates/platform/tests/append.rs
@@ -1,4 +1,4 @@
-//! Retries of appends, in virtual time.
+//! Order and retries of appends, in virtual time.
 
 use sassafrascrank_base::{
     name::Name,
@@ -24,17 +24,17 @@
     }
 }
 
-fn lost() -> Error {
+fn lost_response() -> Error {
     Error::Unavailable {
         sent: true,
         reason: "connection closed".to_owned(),
     }
 }
 
-/// Guards against a retry with another origin, a record that overtakes an older one, retries without growing waits,
-/// and a retry after the record was read back.
+/// Guards against a retry with another origin, a record that is appended before an older one, retries without growing
+/// delays, and a retry after the record was read back.
 #[test]
-fn a_lost_answer_is_retried_with_the_same_origin() {
+fn lost_response_is_retried_with_the_same_origin() {
     let mut appender = appender(1);
     appender.push(|origin| origin.to_string()).unwrap();
     appender.push(|origin| origin.to_string()).unwrap();
@@ -47,7 +47,7 @@
             None,
             "a second append while one is in flight"
         );
-        appender.complete(now, Err(lost()));
+        appender.complete(now, Err(lost_response()));
         let wake = appender.wake_at().unwrap();
         let wait = wake.since(now).as_millis();
         writeln!(report, "{body:?}, then {wait} ms").unwrap();
@@ -70,10 +70,10 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against a repeated copy that is reported as a second record, and against another incarnation's record
-/// that is taken for the own one.
+/// Guards against a second copy that is reported as another record, and against the record of another incarnation that
+/// is reported as the appender's own.
 #[test]
-fn only_the_first_copy_of_the_own_record_is_reported() {
+fn only_the_first_copy_of_an_own_record_is_reported() {
     let mut appender = appender(1);
     appender.push(|origin| origin.to_string()).unwrap();
     let mut other = origin(1);
@@ -83,9 +83,9 @@
     assert_eq!(appender.observe(&origin(1), 5), None);
 }
 
-/// Guards against an answer that arrives after the record was read back and is credited to the next record.
+/// Guards against a response that arrives after the record was read back and is attributed to the next record.
 #[test]
-fn a_late_answer_does_not_count_for_the_next_record() {
+fn late_response_is_not_attributed_to_the_next_record() {
     let mut appender = appender(1);
     appender.push(|origin| origin.to_string()).unwrap();
     appender.push(|origin| origin.to_string()).unwrap();
@@ -95,9 +95,10 @@
     assert_eq!(appender.poll(Time::MIN), Some("entry1/1/2"));
 }
 
-/// Guards against a queue without bound during an outage, and against a refused record that blocks the rest.
+/// Guards against a queue that grows without bound during an outage, and against a rejected record that blocks the
+/// records after it.
 #[test]
-fn the_queue_is_bounded_and_a_refused_record_leaves_it() {
+fn queue_is_bounded_and_drops_a_rejected_record() {
     let mut appender = appender(1);
     for _ in 0..QUEUE_LIMIT {
         appender.push(|origin| origin.to_string()).unwrap();
@@ -110,9 +111,9 @@
     insta::assert_debug_snapshot!((full, event, next, appender.len()));
 }
 
-/// Guards against appended records that stay queued for ever because the reader missed them.
+/// Guards against appended records that stay queued forever because they expired before the reader reached them.
 #[test]
-fn a_record_that_expired_unread_leaves_the_queue() {
+fn record_that_expired_unread_leaves_the_queue() {
     let mut appender = appender(1);
     appender.push(|origin| origin.to_string()).unwrap();
     assert!(appender.poll(Time::MIN).is_some());
@@ -123,15 +124,15 @@
     assert!(appender.is_empty());
 }
 
-/// Guards against processes that retry at the same moments.
+/// Guards against processes that all retry at the same times.
 #[test]
-fn waits_differ_between_seeds() {
+fn retry_delays_differ_between_seeds() {
     let mut waits: Vec<u128> = (0..20)
         .map(|seed| {
             let mut appender = appender(seed);
             appender.push(|origin| origin.to_string()).unwrap();
             assert!(appender.poll(Time::MIN).is_some());
-            appender.complete(Time::MIN, Err(lost()));
+            appender.complete(Time::MIN, Err(lost_response()));
             appender.wake_at().unwrap().since(Time::MIN).as_micros()
         })
         .collect();
--- a/crates/platform/tests/client.rs
+++ b/crates/platform/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against the stand-in over a loopback socket.
+//! The HTTP client with the stand-in, over loopback sockets.
 
 use core::{
     net::SocketAddr,
@@ -36,8 +36,8 @@
     },
 };
 
-/// Long enough that no correct answer is late on a busy machine.
-const PATIENT: Duration = Duration::from_secs(30);
+/// Timeout that no correct response exceeds, even on a loaded machine.
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn start(retention: usize, seed: u64) -> Platform {
     let settings = Settings {
@@ -50,8 +50,8 @@
 
 fn client(address: SocketAddr) -> Client {
     let limits = Limits {
-        connect_timeout: PATIENT,
-        response_timeout: PATIENT,
+        connect_timeout: LONG_TIMEOUT,
+        response_timeout: LONG_TIMEOUT,
     };
     Client::new(address, limits)
 }
@@ -67,7 +67,7 @@
     Name::new(text).unwrap()
 }
 
-/// Guards against a client that disagrees with the documented interface.
+/// Guards against a client that deviates from the documented interface.
 #[tokio::test]
 async fn records_are_appended_and_read_in_pages() {
     let platform = start(100, 1);
@@ -84,9 +84,10 @@
     insta::assert_debug_snapshot!((empty, offsets, member, page, ahead, refused));
 }
 
-/// Guards against records that are skipped silently after they expired, and against a reader that stops for good.
+/// Guards against expired records that are skipped without an error, and against a reader that never continues after
+/// them.
 #[tokio::test]
-async fn an_expired_log_is_reported_and_leaves_the_state_incomplete() {
+async fn expired_records_are_reported_and_leave_the_state_incomplete() {
     let platform = start(3, 1);
     let mut client = client(platform.address());
     for sequence in 1..=5 {
@@ -107,7 +108,7 @@
     let snapshot = r#"{"snapshot":{"origin":{"writer":"e","incarnation":1,"sequence":1},"written_ms":1,"image":{"through":4,"floor":0,"values":[],"writers":[]}}}"#;
     client.append(Stream::Config, snapshot).await.unwrap();
     client.append(Stream::Config, &change(6)).await.unwrap();
-    // The record with offset 4 is expired by now, but the snapshot goes through 4.
+    // The record with offset 4 has expired by now, but the snapshot covers the offsets up to 4.
     let steps = catch_up(&mut client, &mut state).await.unwrap();
     let verdicts: Vec<_> = steps
         .iter()
@@ -118,9 +119,9 @@
     assert_eq!(state.pools().count(), 2);
 }
 
-/// Guards against one bad record that hides the others of its page.
+/// Guards against an invalid record that prevents the others of its page from being read.
 #[tokio::test]
-async fn a_bad_record_is_skipped() {
+async fn invalid_record_is_skipped() {
     let platform = start(100, 1);
     let mut client = client(platform.address());
     platform.append("config", &change(1));
@@ -136,10 +137,10 @@
     insta::assert_debug_snapshot!(verdicts);
 }
 
-/// Guards against a client that does not connect again after an outage, and against an outage that changes what is
-/// in force.
+/// Guards against a client that does not reconnect after an outage, and against an outage that changes the values in
+/// force.
 #[tokio::test]
-async fn an_outage_is_reported_and_survived() {
+async fn client_reports_an_outage_and_recovers() {
     let platform = start(100, 1);
     let mut client = client(platform.address());
     client.append(Stream::Config, &change(1)).await.unwrap();
@@ -176,28 +177,28 @@
 
 /// Guards against a call that fails only because the platform closed the connection while it was idle.
 #[tokio::test]
-async fn a_connection_closed_while_idle_is_replaced_at_once() {
+async fn connection_closed_while_idle_is_replaced_at_once() {
     let platform = start(100, 1);
     let mut client = client(platform.address());
     for _ in 0..3 {
         client.append(Stream::Config, &change(1)).await.unwrap();
     }
     platform.close_connections();
-    // The closing takes a moment to arrive; a request that is written before that counts as sent.
+    // A request that is written before the client notices the closing would count as sent.
     let closed = async {
         while client.is_connected() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(PATIENT, closed).await.unwrap();
+    tokio::time::timeout(LONG_TIMEOUT, closed).await.unwrap();
     assert_eq!(client.append(Stream::Config, &change(1)).await, Ok(4));
     assert_eq!(platform.appends(), 4);
 }
 
-/// Guards against an answer that is waited for without end, and against one that is taken for the answer to the
-/// next request.
+/// Guards against a client that waits forever for a response, and against a late response that is taken for the response
+/// to the next request.
 #[tokio::test]
-async fn a_slow_answer_times_out() {
+async fn slow_response_times_out() {
     let platform = start(100, 1);
     platform.set_faults(Faults {
         delay: Duration::from_secs(3_600),
@@ -205,7 +206,7 @@
         ..Faults::default()
     });
     let limits = Limits {
-        connect_timeout: PATIENT,
+        connect_timeout: LONG_TIMEOUT,
         response_timeout: Duration::from_millis(50),
     };
     let mut client = Client::new(platform.address(), limits);
@@ -213,17 +214,17 @@
     assert!(error.may_have_effect(), "{error}");
     assert!(matches!(error, Error::Timeout { .. }), "{error}");
     platform.set_faults(Faults::default());
-    let mut patient = self::client(platform.address());
+    let mut long_timeout_client = self::client(platform.address());
     let end = platform.end("config");
     assert_eq!(
-        patient.append(Stream::Config, &change(2)).await,
+        long_timeout_client.append(Stream::Config, &change(2)).await,
         Ok(end + 1)
     );
 }
 
-/// Guards against a lost answer that is reported as "nothing happened".
+/// Guards against a lost response that is reported as an append without effect.
 #[tokio::test]
-async fn a_lost_answer_may_have_had_an_effect() {
+async fn lost_response_may_have_had_an_effect() {
     let platform = start(100, 1);
     let mut client = client(platform.address());
     client.append(Stream::Config, &change(1)).await.unwrap();
@@ -236,9 +237,9 @@
     assert_eq!(platform.end("config"), 2);
 }
 
-/// Guards against a change that takes effect twice or is reported wrongly when answers are lost, over seeds.
+/// Guards against a change that takes effect twice or is reported wrongly when responses are lost, with several seeds.
 #[tokio::test]
-async fn publishing_survives_lost_answers() {
+async fn publication_succeeds_despite_lost_responses() {
     for seed in 0..10 {
         let platform = start(1_000, seed);
         platform.set_faults(Faults {
@@ -249,7 +250,7 @@
         for round in 1..=3 {
             let text = format!("{{\"pools\": {{\"a\": {{\"slots\": {round}}}}}}}");
             let document = Document::parse(&text).unwrap();
-            let outcome = publish(&mut client, &document, name("ops"), round, PATIENT).await;
+            let outcome = publish(&mut client, &document, name("ops"), round, LONG_TIMEOUT).await;
             let accepted = matches!(outcome, Ok(Outcome::Accepted { .. }));
             assert!(accepted, "seed {seed}, round {round}: {outcome:?}");
         }
@@ -262,9 +263,9 @@
     }
 }
 
-/// Guards against a host list that is read wrongly, and against one whose lag is taken for an error.
+/// Guards against a host list that is decoded wrongly, and against a lagging list that is taken for an error.
 #[tokio::test]
-async fn the_host_list_is_read_with_its_lag() {
+async fn host_list_is_read_with_its_lag() {
     let platform = start(100, 1);
     let mut client = client(platform.address());
     let host = |state: &str| Host {
@@ -289,7 +290,7 @@
     insta::assert_debug_snapshot!((none, some, lagging, bad));
 }
 
-/// Guards against an answer so large that a page can never be read.
+/// Guards against a page of large records that exceeds the response limit and can never be read.
 #[tokio::test]
 async fn large_records_are_read_in_smaller_pages() {
     let platform = start(100, 1);
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list as the client reads it from the stand-in.
+//! Incremental updates of the host list, read from the stand-in.
 
 use sassafrascrank_platform::{
     Directory,
@@ -16,17 +16,17 @@
     },
 };
 
-/// Long enough that no correct answer is late on a busy machine.
-const PATIENT: core::time::Duration = core::time::Duration::from_secs(30);
+/// Timeout that no correct response exceeds, even on a loaded machine.
+const LONG_TIMEOUT: core::time::Duration = core::time::Duration::from_secs(30);
 
-/// Guards against a change of the host list that is lost or applied to another list, and against sending the whole
-/// list when little or nothing has changed.
+/// Guards against a change of the host list that is lost or applied to another version, and against a whole list that is
+/// sent although little or nothing has changed.
 #[tokio::test]
-async fn changes_of_the_host_list_arrive_alone() {
+async fn only_changes_of_the_host_list_are_sent() {
     let platform = Platform::start(Settings::default()).unwrap();
     let limits = Limits {
-        connect_timeout: PATIENT,
-        response_timeout: PATIENT,
+        connect_timeout: LONG_TIMEOUT,
+        response_timeout: LONG_TIMEOUT,
     };
     let mut client = Client::new(platform.address(), limits);
     let host = |name: &str, state: &str| Host {
@@ -37,7 +37,7 @@
         state: state.to_owned(),
         incarnation: 3,
     };
-    let names = |hosts: Result<Option<Vec<sassafrascrank_platform::Host>>, _>| {
+    let describe = |hosts: Result<Option<Vec<sassafrascrank_platform::Host>>, _>| {
         let hosts: Result<_, sassafrascrank_platform::Error> = hosts;
         let Some(hosts) = hosts.unwrap() else {
             return "unchanged".to_owned();
@@ -55,30 +55,30 @@
         host("h2", "live"),
         host("h3", "live"),
     ]);
-    lines.push(names(client.hosts().await));
-    lines.push(names(client.hosts().await));
+    lines.push(describe(client.hosts().await));
+    lines.push(describe(client.hosts().await));
     platform.set_hosts(vec![
         host("h1", "live"),
         host("h2", "leaving"),
         host("h4", "live"),
     ]);
-    lines.push(names(client.hosts().await));
-    lines.push(names(client.hosts().await));
-    // Two changes between two reads, and a host that comes back.
+    lines.push(describe(client.hosts().await));
+    lines.push(describe(client.hosts().await));
+    // Two changes between two reads; host h2 is removed and added again.
     platform.set_hosts(vec![host("h1", "live")]);
     platform.set_hosts(vec![host("h1", "live"), host("h2", "live")]);
-    lines.push(names(client.hosts().await));
-    // More lists than the platform keeps: the client gets the whole list.
+    lines.push(describe(client.hosts().await));
+    // The platform no longer keeps the version that the client knows, so it sends the whole list.
     for _ in 0..100 {
         platform.set_hosts(vec![host("h5", "live")]);
     }
-    lines.push(names(client.hosts().await));
+    lines.push(describe(client.hosts().await));
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a change of one list that is applied to another one.
+/// Guards against changes that are applied to another version of the list than the one they refer to.
 #[test]
-fn changes_of_an_unknown_list_are_refused() {
+fn changes_to_an_unknown_version_are_rejected() {
     let list = |text: &str| serde_json::from_str::<wire::host::List>(text).unwrap();
     let change = r#"{"version":3,"since":2,"hosts":[],"removed":["h1"]}"#;
     let known = list(change).resolve(Some((2, &[])));
--- a/crates/platform/tests/publish.rs
+++ b/crates/platform/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing over a log in memory, in virtual time and over seeded interleavings.
+//! Publication through a log in memory, in virtual time and with seeded interleavings.
 
 use core::time::Duration;
 use sassafrascrank_base::name::Name;
@@ -23,15 +23,15 @@
     Mutex, //
 };
 
-const LIMIT: Duration = Duration::from_secs(60);
+const TIME_LIMIT: Duration = Duration::from_secs(60);
 
 #[derive(Default)]
 struct Shared {
     records: Vec<Box<str>>,
     random: u64,
     first: u64,
-    /// Percentage of appends whose answer is lost.
-    lost: u64,
+    /// Percentage of appends whose response is lost.
+    lost_percent: u64,
     down: bool,
     /// Reads fail once this many records exist.
     unreadable_from: Option<usize>,
@@ -47,16 +47,16 @@
     }
 }
 
-/// A log whose calls take a random number of turns of the runtime.
+/// A log in memory, whose calls yield to the runtime a random number of times.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Shared>>);
+struct MemoryLog(Arc<Mutex<Shared>>);
 
-impl Memory {
-    fn new(seed: u64, lost: u64) -> Self {
+impl MemoryLog {
+    fn new(seed: u64, lost_percent: u64) -> Self {
         Self(Arc::new(Mutex::new(Shared {
             random: seed,
             first: 1,
-            lost,
+            lost_percent,
             ..Shared::default()
         })))
     }
@@ -76,7 +76,7 @@
     }
 }
 
-impl Log for Memory {
+impl Log for MemoryLog {
     async fn append(&mut self, _: Stream, body: &str) -> Result<u64, Error> {
         self.wait().await;
         let offset = {
@@ -84,7 +84,7 @@
             if shared.down {
                 return Err(unavailable(false));
             }
-            let lost = shared.draw(100) < shared.lost;
+            let lost = shared.draw(100) < shared.lost_percent;
             if lost && shared.draw(2) == 0 {
                 return Err(unavailable(true));
             }
@@ -137,19 +137,19 @@
     Document::parse(text).unwrap()
 }
 
-/// Guards against a race that both operators win or both lose, also when answers are lost, and against an operator
-/// who is told something else than what happened.
+/// Guards against a race that both operators win or both lose, also when responses are lost, and against a result that
+/// does not match what happened.
 #[tokio::test(start_paused = true)]
-async fn of_two_racing_operators_exactly_one_is_told_that_it_won() {
+async fn exactly_one_of_two_racing_operators_succeeds() {
     let (mut raced, mut ann_won) = (0, 0);
     for seed in 0..300 {
-        let log = Memory::new(seed, 30);
+        let log = MemoryLog::new(seed, 30);
         let (mut one, mut two, mut reader) = (log.clone(), log.clone(), log);
         let ann = document(r#"{"pools": {"a": {"slots": 1}, "b": {"slots": 1}}}"#);
         let bob = document(r#"{"pools": {"b": {"slots": 2}, "c": {"slots": 2}}}"#);
         let (ann, bob) = tokio::join!(
-            publish(&mut one, &ann, name("ann"), 1, LIMIT),
-            publish(&mut two, &bob, name("bob"), 1, LIMIT),
+            publish(&mut one, &ann, name("ann"), 1, TIME_LIMIT),
+            publish(&mut two, &bob, name("bob"), 1, TIME_LIMIT),
         );
         let mut state = State::new(1);
         catch_up(&mut reader, &mut state).await.unwrap();
@@ -164,7 +164,7 @@
                 assert_eq!((by, slots), (Some(name("bob")), vec![2, 2]), "{at}");
                 raced += 1;
             }
-            // One of them read the other's change before it wrote its own.
+            // One of them read the other's change before it published its own.
             (Outcome::Accepted { offset: first, .. }, Outcome::Accepted { offset: second, .. }) => {
                 let expected = if first < second { [1, 2, 2] } else { [1, 1, 2] };
                 assert_eq!(slots, expected, "{at}");
@@ -172,32 +172,32 @@
             _ => panic!("{at}"),
         }
     }
-    // The interleavings cover both orders of a race.
+    // The interleavings must include races that each of the two operators wins.
     assert!(
         raced > 30 && ann_won > 10 && ann_won < raced,
         "{raced} races, ann won {ann_won}"
     );
 }
 
-/// Guards against an operator who is told that a change is in force although it is not, or that nothing happened
+/// Guards against a result that says that a change is in force although it is not, or that nothing was published
 /// although the record may be in the log.
 #[tokio::test(start_paused = true)]
-async fn each_end_of_publishing_is_told_as_it_is() {
+async fn result_matches_the_effect_of_the_publication() {
     let mut results = Vec::new();
     let good = document(r#"{"pools": {"a": {}}}"#);
-    let mut log = Memory::new(1, 0);
-    results.push(publish(&mut log, &document("{}"), name("ops"), 1, LIMIT).await);
-    results.push(publish(&mut log, &good, name("ops"), 2, LIMIT).await);
+    let mut log = MemoryLog::new(1, 0);
+    results.push(publish(&mut log, &document("{}"), name("ops"), 1, TIME_LIMIT).await);
+    results.push(publish(&mut log, &good, name("ops"), 2, TIME_LIMIT).await);
     let unknown_pool = document(r#"{"hosts": {"h": {"pool": "z"}}}"#);
-    results.push(publish(&mut log, &unknown_pool, name("ops"), 3, LIMIT).await);
+    results.push(publish(&mut log, &unknown_pool, name("ops"), 3, TIME_LIMIT).await);
     log.0.lock().unwrap().unreadable_from = Some(3);
-    results.push(publish(&mut log, &good, name("ops"), 4, LIMIT).await);
+    results.push(publish(&mut log, &good, name("ops"), 4, TIME_LIMIT).await);
     log.0.lock().unwrap().down = true;
-    results.push(publish(&mut log, &good, name("ops"), 5, LIMIT).await);
-    let mut expired = Memory::new(1, 0);
+    results.push(publish(&mut log, &good, name("ops"), 5, TIME_LIMIT).await);
+    let mut expired = MemoryLog::new(1, 0);
     expired.0.lock().unwrap().first = 2;
     expired.0.lock().unwrap().records.push("{}".into());
-    results.push(publish(&mut expired, &good, name("ops"), 6, LIMIT).await);
+    results.push(publish(&mut expired, &good, name("ops"), 6, TIME_LIMIT).await);
     let lines: Vec<String> = results
         .iter()
         .map(|result| match result {
@@ -208,10 +208,10 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a decision that is put into force although its basis moved after it was made.
+/// Guards against a decision that takes effect although a value that it is based on has changed since.
 #[tokio::test(start_paused = true)]
-async fn entries_keep_the_basis_of_their_decision() {
-    let mut log = Memory::new(1, 0);
+async fn entries_with_an_outdated_basis_are_stale() {
+    let mut log = MemoryLog::new(1, 0);
     let pool = document(r#"{"pools": {"a": {}}}"#);
     let (subject, value) = pool.values.first_key_value().unwrap();
     let entry = |basis| Entry {
@@ -227,20 +227,20 @@
         (4, vec![entry(1)]),
     ];
     for (incarnation, entries) in cases {
-        let published = publish_entries(&mut log, entries, name("ops"), incarnation, LIMIT);
+        let published = publish_entries(&mut log, entries, name("ops"), incarnation, TIME_LIMIT);
         results.push(format!("{:?}", published.await));
     }
     insta::assert_snapshot!(results.join("\n"));
 }
 
-/// Guards against a tool that says that nothing was published, or does not look for its record, when every answer is
-/// lost, over seeds that decide which appends take effect.
+/// Guards against a publisher that reports that nothing was published, or does not search the log for its record, when
+/// every response is lost. The seeds decide which appends take effect.
 #[tokio::test(start_paused = true)]
-async fn a_record_whose_answers_are_all_lost_is_found() {
+async fn record_whose_responses_are_all_lost_is_found() {
     for seed in 0..50 {
-        let mut log = Memory::new(seed, 100);
+        let mut log = MemoryLog::new(seed, 100);
         let good = document(r#"{"pools": {"a": {}}}"#);
-        let result = publish(&mut log, &good, name("ops"), 1, LIMIT).await;
+        let result = publish(&mut log, &good, name("ops"), 1, TIME_LIMIT).await;
         assert!(
             matches!(result, Ok(Outcome::Accepted { .. })),
             "seed {seed}: {result:?}"
@@ -248,10 +248,10 @@
     }
 }
 
-/// Guards against a tool that says "unknown" although the log never took a record, when it fails after reading.
+/// Guards against the outcome "unknown" although no append was sent, when the log fails after it was read.
 #[tokio::test(start_paused = true)]
-async fn an_append_that_is_never_sent_is_no_unknown_outcome() {
-    struct ReadOnly(Memory);
+async fn append_that_is_never_sent_is_an_error() {
+    struct ReadOnly(MemoryLog);
     impl Log for ReadOnly {
         async fn append(&mut self, _: Stream, _: &str) -> Result<u64, Error> {
             Err(unavailable(false))
@@ -260,9 +260,9 @@
             self.0.read(stream, from, limit).await
         }
     }
-    let mut log = ReadOnly(Memory::new(1, 0));
+    let mut log = ReadOnly(MemoryLog::new(1, 0));
     let good = document(r#"{"pools": {"a": {}}}"#);
-    let result = publish(&mut log, &good, name("ops"), 1, LIMIT).await;
+    let result = publish(&mut log, &good, name("ops"), 1, TIME_LIMIT).await;
     assert_eq!(result, Err(publish::Error::Log(unavailable(false))));
     let mut state = State::new(1);
     catch_up(&mut log, &mut state).await.unwrap();
--- a/crates/platform/tests/wire.rs
+++ b/crates/platform/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Serialised records, pages and hosts.
+//! Wire format of records, pages and hosts.
 
 use proptest::prelude::*;
 use sassafrascrank_base::{
@@ -86,12 +86,12 @@
                 floor,
                 values: values
                     .map(|((subject, value), offset, writer)| {
-                        let held = Revision {
+                        let revision = Revision {
                             offset,
                             writer,
                             value,
                         };
-                        (subject, held)
+                        (subject, revision)
                     })
                     .collect(),
                 writers: writers
@@ -150,37 +150,37 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a field of a configuration record that is lost or changed on the way through the log.
+    /// Guards against a field of a configuration record that encoding or decoding loses or changes.
     #[test]
-    fn a_configuration_record_survives_the_wire(record in prop_oneof![change(), snapshot()]) {
+    fn configuration_record_round_trips(record in prop_oneof![change(), snapshot()]) {
         prop_assert_eq!(config::decode(&config::encode(&record)), Ok(record));
     }
 
-    /// Guards against a field of a membership record that is lost or changed on the way through the log.
+    /// Guards against a field of a membership record that encoding or decoding loses or changes.
     #[test]
-    fn a_membership_record_survives_the_wire(record in membership()) {
+    fn membership_record_round_trips(record in membership()) {
         prop_assert_eq!(member::decode(&member::encode(&record)), Ok(record));
     }
 
-    /// Guards against a host whose address, place or state is lost or changed.
+    /// Guards against a field of a host that encoding or decoding loses or changes.
     #[test]
-    fn a_host_survives_the_wire(host in host()) {
+    fn host_round_trips(host in host()) {
         let text = serde_json::to_string(&wire::host::Host::from(&host)).unwrap();
         prop_assert_eq!(wire::decode::<wire::host::Host, Host>(&text), Ok(host));
     }
 
-    /// Guards against a panic on a record of arbitrary text.
+    /// Guards against a panic on arbitrary text, and against its acceptance as a record.
     #[test]
-    fn arbitrary_text_is_refused(text in "\\PC{0,200}") {
+    fn arbitrary_text_is_rejected(text in "\\PC{0,200}") {
         prop_assert!(config::decode(&text).is_err());
         prop_assert!(member::decode(&text).is_err());
     }
 }
 
-/// Guards against a record that is taken although a value is bad, and against a message without field, value and
+/// Guards against a record that is accepted although a value is invalid, and against an error without field, value and
 /// remedy.
 #[test]
-fn bad_records_name_field_value_and_remedy() {
+fn errors_of_invalid_records_name_field_value_and_remedy() {
     let origin = r#""origin":{"writer":"w","incarnation":1,"sequence":1}"#;
     let entry = |text: &str| format!(r#"{{"change":{{{origin},"entries":[{text}]}}}}"#);
     let configs = [
@@ -242,9 +242,9 @@
     insta::assert_snapshot!(messages);
 }
 
-/// Guards against a change of the record formats that older processes can't read.
+/// Guards against a change of the record formats that other versions of the processes can't decode.
 #[test]
-fn the_record_formats_stay_as_documented() {
+fn record_formats_match_the_documentation() {
     let origin = Origin {
         writer: Name::new("ops").unwrap(),
         incarnation: 7,
@@ -262,7 +262,7 @@
             value: value.clone(),
         }],
     });
-    let held = Revision {
+    let revision = Revision {
         offset: 5,
         writer: origin.writer.clone(),
         value,
@@ -273,7 +273,7 @@
         image: Image {
             through: 5,
             floor: 0,
-            values: vec![(subject, held)],
+            values: vec![(subject, revision)],
             writers: vec![WriterState {
                 writer: origin.writer.clone(),
                 incarnation: 7,
