--- a/crates/standin/src/cluster/answer.rs
+++ b/crates/standin/src/cluster/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and parameters of HTTP requests.
+//! HTTP responses and query parameters.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,22 +9,22 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// An answer with its whole body.
+/// A response with its whole body.
 pub(super) type Answer = Response<Full<Bytes>>;
 
-/// Returns a JSON answer.
+/// Returns a response with a JSON body.
 pub(super) fn json(status: StatusCode, body: &Value) -> Answer {
     raw(status, body.to_string().into_bytes())
 }
 
-/// Returns an answer with any body.
+/// Returns a response with a binary body.
 pub(super) fn raw(status: StatusCode, body: Vec<u8>) -> Answer {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response
 }
 
-/// Returns the parameters of a query.
+/// Parses the parameters of a query string.
 pub(super) fn query(text: Option<&str>) -> HashMap<String, String> {
     let pairs = text.unwrap_or_default().split('&');
     let pairs = pairs.filter_map(|pair| pair.split_once('='));
@@ -33,7 +33,7 @@
         .collect()
 }
 
-/// Returns a parameter that is a number.
+/// Returns the value of a numeric parameter.
 pub(super) fn number(query: &HashMap<String, String>, name: &str) -> Option<u64> {
     query.get(name)?.parse().ok()
 }
--- a/crates/standin/src/cluster/cluster.rs
+++ b/crates/standin/src/cluster/cluster.rs
@@ -9,7 +9,7 @@
         lock, //
     },
     state::{
-        OPERATOR,
+        OPERATOR_TOPIC,
         State, //
     },
 };
@@ -44,12 +44,12 @@
     },
 };
 
-/// Time between two entries that a runner writes.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// Topic in which the system publishes the state of waves.
-const STATUS: &str = "keyed.status";
+/// Time between two records that a runner writes about itself.
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Topic in which the system under test publishes the state of waves.
+const WAVE_TOPIC: &str = "keyed.status";
 
-/// The platform's services on loopback addresses, served by one thread until the test ends.
+/// The platform's services on loopback addresses, served by one thread until the process ends.
 #[derive(Clone, Debug)]
 pub struct Cluster {
     state: Arc<Mutex<State>>,
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a loopback address or a thread can't be had.
+    /// Fails if no loopback address is free or the thread can't be started.
     pub fn start(plan: Plan) -> io::Result<Self> {
         let hosts: usize = plan.pools.iter().map(|pool| pool.hosts).sum();
         let platform = listen()?;
@@ -78,7 +78,7 @@
         Ok(Self { state, address })
     }
 
-    /// Returns the settings of an entry with free addresses.
+    /// Returns the settings file of an entry that listens on free addresses.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
         ))
     }
 
-    /// Asks for the maintenance of hosts.
+    /// Publishes a maintenance wave as an operator does.
     pub fn publish_wave(&self, wave: u64, hosts: &[String], seconds: u64, cap: usize) {
         let value = json!({
             "wave": wave,
@@ -101,7 +101,7 @@
             "durationS": seconds,
             "cap": cap,
         });
-        lock(&self.state).publish(OPERATOR, &format!("wave/{wave}"), &value);
+        lock(&self.state).publish(OPERATOR_TOPIC, &format!("wave/{wave}"), &value);
     }
 
     /// Returns the names of all hosts.
@@ -109,7 +109,8 @@
         lock(&self.state).hosts.hosts.keys().cloned().collect()
     }
 
-    /// Returns the hosts whose maintenance in a wave has begun, and the most that were in maintenance at once.
+    /// Returns the number of hosts whose maintenance in a wave has begun, and the largest number of hosts that were in
+    /// maintenance at once.
     pub fn maintained(&self, wave: u64) -> (usize, usize) {
         let state = lock(&self.state);
         let begun = state.hosts.hosts.values();
@@ -117,9 +118,9 @@
         (begun, state.hosts.max_in_maintenance)
     }
 
-    /// Returns the state of a wave as the system published it.
+    /// Returns the state of a wave that the system under test has published.
     pub fn wave_state(&self, wave: u64) -> Option<String> {
-        let (_, rows) = lock(&self.state).log.newest(STATUS);
+        let (_, rows) = lock(&self.state).log.newest(WAVE_TOPIC);
         let key = format!("wave/{wave}");
         let row = rows.into_iter().find(|(_, name, _)| *name == key)?;
         let value: serde_json::Value = serde_json::from_slice(&row.2).ok()?;
@@ -131,10 +132,10 @@
         self.address
     }
 
-    /// Returns the number of runs whose tasks' names have a prefix.
+    /// Returns the number of running tasks whose names start with `prefix`.
     pub fn running(&self, prefix: &str) -> usize {
         let state = lock(&self.state);
-        let workers = state.sites.values().filter_map(|site| site.worker.as_ref());
+        let workers = state.nodes.values().filter_map(|node| node.worker.as_ref());
         let runs = workers.flat_map(|worker| &worker.runs);
         runs.filter(|run| run.task.starts_with(prefix)).count()
     }
@@ -142,16 +143,16 @@
     /// Returns all runs that have ended.
     pub fn history(&self) -> Vec<Execution> {
         let state = lock(&self.state);
-        let workers = state.sites.values().filter_map(|site| site.worker.as_ref());
+        let workers = state.nodes.values().filter_map(|node| node.worker.as_ref());
         let present = workers.flat_map(|worker| worker.history.clone());
         state.history.iter().cloned().chain(present).collect()
     }
 
-    /// Drops the records of operators and runners but the newest of each key.
+    /// Compacts the topics of operators and runners: only the newest record of each key is kept.
     pub fn compact(&self) {
         let mut state = lock(&self.state);
-        state.log.expire(OPERATOR);
-        state.log.expire(super::state::SERVERS);
+        state.log.expire(OPERATOR_TOPIC);
+        state.log.expire(super::state::RUNNER_TOPIC);
     }
 }
 
@@ -170,11 +171,11 @@
             service::serve(&state, &head, &body).await
         }
     }));
-    let names: Vec<String> = lock(&state).sites.keys().cloned().collect();
-    let mut named = names.clone();
-    // Addresses were given to hosts in the order of their numbers.
-    named.sort_by_key(|name| name[2..].parse::<usize>().unwrap_or_default());
-    for (host, listener) in named.into_iter().zip(runners) {
+    let names: Vec<String> = lock(&state).nodes.keys().cloned().collect();
+    let mut by_number = names.clone();
+    // `State::new` assigns addresses in the order of host numbers, which differs from the order of names.
+    by_number.sort_by_key(|name| name[2..].parse::<usize>().unwrap_or_default());
+    for (host, listener) in by_number.into_iter().zip(runners) {
         let shared = Arc::clone(&state);
         spawn_local(accept(listener, move |request: Request<Incoming>| {
             let state = Arc::clone(&shared);
@@ -186,8 +187,8 @@
         }));
     }
     loop {
-        tokio::time::sleep(HEARTBEAT).await;
-        lock(&state).beat();
+        tokio::time::sleep(REGISTRATION_INTERVAL).await;
+        lock(&state).advance();
     }
 }
 
@@ -197,7 +198,7 @@
     (head, body.unwrap_or_default())
 }
 
-/// Accepts connections and answers their requests.
+/// Accepts connections and responds to their requests.
 async fn accept<S, F>(listener: TcpListener, answer: S)
 where
     S: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -213,7 +214,7 @@
                 let answer = answer(request);
                 async move { Ok::<_, std::convert::Infallible>(answer.await) }
             });
-            // A broken connection concerns only the one who opened it.
+            // An error affects only this connection, and its client notices it.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/standin/src/cluster/hosts.rs
+++ b/crates/standin/src/cluster/hosts.rs
@@ -1,31 +1,31 @@
-//! The host service: moves and maintenance.
+//! State of the host service: moves and maintenance.
 
 use std::{
     collections::BTreeMap,
     time::Duration, //
 };
 
-/// What a host does.
+/// State of a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// It works.
+    /// It is in operation.
     Up,
-    /// It moves to another pool until then.
+    /// It moves to another pool until this time.
     Moving(Duration),
-    /// It is maintained until then.
+    /// It is in maintenance until this time.
     Maintenance(Duration),
 }
 
 /// A host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Pool.
+    /// Name of the pool.
     pub pool: String,
-    /// What it does.
+    /// State.
     pub phase: Phase,
-    /// Waves whose maintenance it has begun.
+    /// Waves in which its maintenance has begun.
     pub maintained: Vec<u64>,
-    /// Holder and token of each order, for checks.
+    /// Lease holder and fencing token of each order, for assertions.
     pub orders: Vec<(String, u64)>,
 }
 
@@ -34,16 +34,16 @@
 pub struct Hosts {
     /// Hosts by name.
     pub hosts: BTreeMap<String, Host>,
-    /// How long a move takes.
+    /// Duration of a move.
     pub move_time: Duration,
-    /// How long maintenance takes.
+    /// Duration of maintenance.
     pub maintenance_time: Duration,
-    /// Most hosts of one wave in maintenance at once that were seen, for checks.
+    /// Largest number of hosts that were in maintenance at once, for assertions.
     pub max_in_maintenance: usize,
 }
 
 impl Hosts {
-    /// Adds a host that works.
+    /// Adds a host in operation.
     pub fn add(&mut self, name: &str, pool: &str) {
         self.hosts.insert(
             name.to_owned(),
@@ -56,26 +56,26 @@
         );
     }
 
-    /// Returns the hosts that have just come back.
+    /// Ends moves and maintenance that are due, and returns the hosts that are up again.
     pub fn advance(&mut self, now: Duration) -> Vec<String> {
-        let mut back = Vec::new();
+        let mut returned = Vec::new();
         for (name, host) in &mut self.hosts {
             if let Phase::Moving(until) | Phase::Maintenance(until) = host.phase
                 && until <= now
             {
                 host.phase = Phase::Up;
-                back.push(name.clone());
+                returned.push(name.clone());
             }
         }
-        back
+        returned
     }
 
-    /// Moves a host; `None` if there is no such host, `Some(false)` if it is not up.
+    /// Starts the move of a host; `None` if there is no such host, `Some(false)` if it is not up.
     pub fn relocate(
         &mut self,
         name: &str,
         pool: &str,
-        by: (&str, u64),
+        issuer: (&str, u64),
         now: Duration,
     ) -> Option<bool> {
         let until = now + self.move_time;
@@ -86,18 +86,18 @@
         if host.phase != Phase::Up {
             return Some(false);
         }
-        host.orders.push((by.0.to_owned(), by.1));
+        host.orders.push((issuer.0.to_owned(), issuer.1));
         host.pool = pool.to_owned();
         host.phase = Phase::Moving(until);
         Some(true)
     }
 
-    /// Begins maintenance; `None` if there is no such host, `Some(false)` if it is not up.
+    /// Starts maintenance of a host; `None` if there is no such host, `Some(false)` if it is not up.
     pub fn maintain(
         &mut self,
         name: &str,
         wave: u64,
-        by: (&str, u64),
+        issuer: (&str, u64),
         now: Duration,
     ) -> Option<bool> {
         let until = now + self.maintenance_time;
@@ -108,13 +108,13 @@
         if host.phase != Phase::Up {
             return Some(false);
         }
-        host.orders.push((by.0.to_owned(), by.1));
+        host.orders.push((issuer.0.to_owned(), issuer.1));
         host.maintained.push(wave);
         host.phase = Phase::Maintenance(until);
-        let down = |host: &&Host| matches!(host.phase, Phase::Maintenance(_));
+        let in_maintenance = |host: &&Host| matches!(host.phase, Phase::Maintenance(_));
         self.max_in_maintenance = self
             .max_in_maintenance
-            .max(self.hosts.values().filter(down).count());
+            .max(self.hosts.values().filter(in_maintenance).count());
         Some(true)
     }
 }
--- a/crates/standin/src/cluster/log.rs
+++ b/crates/standin/src/cluster/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log: topics with producers, conditions, keys and retention.
+//! State of the platform's log: topics with idempotent producers, conditional appends, keys and retention.
 
 use std::collections::{
     BTreeMap,
@@ -6,24 +6,24 @@
     VecDeque, //
 };
 
-/// Appends of a producer whose answers are kept for repeats.
-const KEPT: usize = 5;
+/// Number of appends of a producer whose results are kept, so that a repeated append gets the same result.
+const KEPT_RESULTS: usize = 5;
 
 /// Who appends.
 #[derive(Clone, Debug)]
 pub struct Producer {
-    /// Name.
+    /// Name of the producer.
     pub name: String,
-    /// Epoch; lower ones are rejected.
+    /// Epoch; the log rejects lower ones than the highest that it has seen.
     pub epoch: u64,
-    /// Sequence of the append within the epoch.
+    /// Sequence number of the append within the epoch.
     pub sequence: u64,
 }
 
-/// Keys and values, an empty value drops the key.
+/// Keys and values; an empty value deletes the key.
 pub type Records = Vec<(String, Vec<u8>)>;
 
-/// Where the records of an append lie.
+/// Offsets of the records of an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Appended {
     /// Offset of the first record.
@@ -37,17 +37,17 @@
 pub enum Rejected {
     /// The producer's epoch is too low.
     Fenced,
-    /// Another sequence has to come next.
+    /// The log expects this sequence number next.
     Sequence(u64),
-    /// The topic does not end where the append expects it.
+    /// The topic ends at this offset and not where the append expects.
     End(u64),
 }
 
 #[derive(Clone, Debug, Default)]
-struct State {
+struct ProducerState {
     epoch: u64,
-    next: u64,
-    kept: VecDeque<(u64, Appended)>,
+    next_sequence: u64,
+    results: VecDeque<(u64, Appended)>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -55,7 +55,7 @@
     first: u64,
     records: VecDeque<(String, Vec<u8>)>,
     newest: BTreeMap<String, (u64, Vec<u8>)>,
-    producers: HashMap<String, State>,
+    producers: HashMap<String, ProducerState>,
 }
 
 impl Topic {
@@ -64,7 +64,7 @@
     }
 }
 
-/// The log. All topics have one partition and keyed records.
+/// The log. Each topic has one partition and keyed records.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     topics: HashMap<String, Topic>,
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// Rejects an append whose producer or condition does not fit.
+    /// Rejects an append with a lower epoch, an unexpected sequence number, or an unexpected end of the topic in `at`.
     pub fn append(
         &mut self,
         topic: &str,
@@ -90,21 +90,21 @@
                 return Err(Rejected::Fenced);
             }
             if producer.epoch > state.epoch {
-                *state = State {
+                *state = ProducerState {
                     epoch: producer.epoch,
-                    next: producer.sequence,
-                    kept: VecDeque::new(),
+                    next_sequence: producer.sequence,
+                    results: VecDeque::new(),
                 };
             }
-            if let Some((_, answer)) = state
-                .kept
+            if let Some((_, result)) = state
+                .results
                 .iter()
-                .find(|(kept, _)| *kept == producer.sequence)
+                .find(|(sequence, _)| *sequence == producer.sequence)
             {
-                return Ok(*answer);
+                return Ok(*result);
             }
-            if producer.sequence != state.next {
-                return Err(Rejected::Sequence(state.next));
+            if producer.sequence != state.next_sequence {
+                return Err(Rejected::Sequence(state.next_sequence));
             }
         }
         let end = topic.end();
@@ -118,27 +118,27 @@
             };
         }
         topic.records.extend(records);
-        let answer = Appended {
+        let result = Appended {
             offset: end,
             end: topic.end(),
         };
         if let Some(producer) = producer
             && let Some(state) = topic.producers.get_mut(&producer.name)
         {
-            state.next += 1;
-            state.kept.push_back((producer.sequence, answer));
-            if state.kept.len() > KEPT {
-                state.kept.pop_front();
+            state.next_sequence += 1;
+            state.results.push_back((producer.sequence, result));
+            if state.results.len() > KEPT_RESULTS {
+                state.results.pop_front();
             }
         }
-        Ok(answer)
+        Ok(result)
     }
 
-    /// Returns the records from `from` on with the end, or the first retained offset if they have expired.
+    /// Returns the end offset of a topic and its records from `from` on.
     ///
     /// # Errors
     ///
-    /// Fails if the record at `from` is no longer retained.
+    /// Returns the first retained offset if the record at `from` is no longer retained.
     pub fn read(&self, topic: &str, from: u64) -> Result<(u64, Records), u64> {
         let Some(topic) = self.topics.get(topic) else {
             return Ok((0, Vec::new()));
@@ -150,7 +150,7 @@
         Ok((topic.end(), records))
     }
 
-    /// Returns the newest record of each key with its offset, and the end.
+    /// Returns the end offset of a topic, and the newest record of each key with its offset.
     pub fn newest(&self, topic: &str) -> (u64, Vec<(u64, String, Vec<u8>)>) {
         let Some(topic) = self.topics.get(topic) else {
             return (0, Vec::new());
@@ -160,7 +160,7 @@
         (topic.end(), rows.collect())
     }
 
-    /// Drops all records of a topic but the newest of each key, as the end of the retention does.
+    /// Expires all records of a topic; only the newest record of each key stays readable, through [`newest`](Self::newest).
     pub fn expire(&mut self, topic: &str) {
         if let Some(topic) = self.topics.get_mut(topic) {
             topic.first = topic.end();
--- a/crates/standin/src/cluster/mod.rs
+++ b/crates/standin/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the users' platform: its log, its runners, and its host service.
+//! Stand-ins for the users' platform: log, runners and host service.
 //!
-//! [`Log`], [`Worker`] and [`Hosts`] are plain state machines with the time as an argument, for tests in virtual time.
+//! [`Log`], [`Worker`] and [`Hosts`] are state machines that take the time as an argument, for tests in virtual time.
 //! [`Cluster`] serves them over HTTP on loopback addresses, for end-to-end tests and the demo.
 
 mod answer;
--- a/crates/standin/src/cluster/runner.rs
+++ b/crates/standin/src/cluster/runner.rs
@@ -1,4 +1,4 @@
-//! Runners over HTTP.
+//! HTTP interface of the runners.
 
 use super::{
     Refusal, Start, Worker,
@@ -26,13 +26,13 @@
 };
 use tokio::time::sleep;
 
-/// Time between two looks at a runner that a caller polls_again for.
+/// Time between two checks for an ended attempt while a poll is held open.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
-/// How long a task works whose text does not say so.
+/// Duration of a task whose specification names none, in milliseconds.
 const DEFAULT_WORK_MS: u64 = 200;
 
-/// Answers a request to the runner of a host. A text `work=N` makes a task work for N ms, `lasting` until it is
-/// stopped, and `fails` makes it fail.
+/// Responds to a request to the runner of a host. The specification controls the task: `work=N` makes it run for N ms,
+/// `lasting` makes it run until it is stopped, and `fails` makes it fail.
 pub(super) async fn serve(state: &Mutex<State>, host: &str, head: &Parts, body: &[u8]) -> Answer {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     let expected = head.headers.get("x-sassafrascrank-expect-instance");
@@ -44,15 +44,15 @@
             let mut state = lock(state);
             let now = state.now();
             let worker = state
-                .sites
+                .nodes
                 .get_mut(host)
-                .and_then(|site| site.worker.as_mut());
+                .and_then(|node| node.worker.as_mut());
             let Some(worker) = worker.filter(|worker| worker.id == expected) else {
                 return json(StatusCode::MISDIRECTED_REQUEST, &object!({}));
             };
             let result = execute(worker, head.uri.path(), &body, now);
-            let polls_again = head.uri.path() == "/hold" && worker.ends.is_empty();
-            if result.is_err() || !polls_again || begun.elapsed() >= wait {
+            let may_wait = head.uri.path() == "/hold" && worker.ends.is_empty();
+            if result.is_err() || !may_wait || begun.elapsed() >= wait {
                 return answer(worker, result, now);
             }
         }
@@ -91,8 +91,8 @@
 
 fn answer(worker: &Worker, result: Result<(), Refusal>, now: Duration) -> Answer {
     let clock = worker.clock(now);
-    if let Err(refused) = result {
-        let body = object!({ "clockMs": clock, "reason": refused.as_str() });
+    if let Err(refusal) = result {
+        let body = object!({ "clockMs": clock, "reason": refusal.as_str() });
         return json(StatusCode::CONFLICT, &body);
     }
     let running: Vec<Value> = worker
--- a/crates/standin/src/cluster/service.rs
+++ b/crates/standin/src/cluster/service.rs
@@ -1,4 +1,4 @@
-//! The log and the host service over HTTP.
+//! HTTP interface of the log and the host service.
 
 use super::{
     Producer, Rejected,
@@ -10,8 +10,8 @@
         raw, //
     },
     state::{
-        OPERATOR,
-        SERVERS,
+        OPERATOR_TOPIC,
+        RUNNER_TOPIC,
         State, //
     },
 };
@@ -43,17 +43,17 @@
 };
 use tokio::time::sleep;
 
-/// Kilobytes of a read that names no size.
-const READ_KILOBYTES: u64 = 1_024;
-/// Time between two looks at a log that a reader waits for.
-const POLL: Duration = Duration::from_millis(3);
+/// Size limit of a read that names none.
+const DEFAULT_READ_KILOBYTES: u64 = 1_024;
+/// Time between two checks for records while a read waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Gives access to the state; a panic elsewhere fails the test anyway.
+/// Locks the state. A poisoned lock is ignored, because the panic that poisoned it already fails the test.
 pub(super) fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers a request to the log or the host service.
+/// Responds to a request to the log or the host service.
 pub(super) async fn serve(state: &Mutex<State>, head: &Parts, body: &[u8]) -> Answer {
     let query = query(head.uri.query());
     match (&head.method, head.uri.path()) {
@@ -62,7 +62,7 @@
         (&Method::GET, "/log-newest") => newest(state, &query),
         (&Method::GET, "/machines") => json(StatusCode::OK, &lock(state).machines()),
         (&Method::POST, "/machine-move" | "/machine-upkeep") => {
-            touch(state, head.uri.path(), &head.headers, body)
+            order_host(state, head.uri.path(), &head.headers, body)
         }
         _ => json(StatusCode::NOT_FOUND, &object!({})),
     }
@@ -72,7 +72,7 @@
     let Some(topic) = query.get("topic") else {
         return json(StatusCode::BAD_REQUEST, &object!({}));
     };
-    if topic == OPERATOR || topic == SERVERS {
+    if topic == OPERATOR_TOPIC || topic == RUNNER_TOPIC {
         return json(StatusCode::FORBIDDEN, &object!({}));
     }
     let Some(records) = records(body) else {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads keyed records: a length of four bytes, the length of the key in one byte, the key, the value.
+/// Decodes keyed records: the length of the record in four bytes, the length of the key in one byte, the key, the value.
 fn records(body: &[u8]) -> Option<Vec<(String, Vec<u8>)>> {
     let mut rest = body;
     let mut records = Vec::new();
@@ -121,7 +121,7 @@
     let topic = query.get("topic").cloned().unwrap_or_default();
     let from = number(query, "from").unwrap_or_default();
     let wait = Duration::from_millis(number(query, "waitMs").unwrap_or_default());
-    let limit = number(query, "maxKb").unwrap_or(READ_KILOBYTES) << 10;
+    let limit = number(query, "maxKb").unwrap_or(DEFAULT_READ_KILOBYTES) << 10;
     let begun = Instant::now();
     loop {
         match lock(state).log.read(&topic, from) {
@@ -144,7 +144,7 @@
             }
             Ok(_) => {}
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -159,7 +159,7 @@
     )
 }
 
-fn touch(state: &Mutex<State>, path: &str, headers: &HeaderMap, body: &[u8]) -> Answer {
+fn order_host(state: &Mutex<State>, path: &str, headers: &HeaderMap, body: &[u8]) -> Answer {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     let Some(host) = body["machine"].as_str() else {
         return json(StatusCode::BAD_REQUEST, &object!({}));
@@ -167,25 +167,25 @@
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let holder = text("x-sassafrascrank-lease-holder").unwrap_or_default();
     let token = text("x-sassafrascrank-fencing-token").and_then(|token| token.parse().ok());
-    let by = (holder, token.unwrap_or_default());
+    let issuer = (holder, token.unwrap_or_default());
     let mut state = lock(state);
     let now = state.now();
     let pool = body["pool"].as_str().unwrap_or_default();
-    let known = state.hosts.hosts.get(host).map(|host| host.phase);
+    let before = state.hosts.hosts.get(host).map(|host| host.phase);
     let done = match path {
-        "/machine-move" => state.hosts.relocate(host, pool, by, now),
+        "/machine-move" => state.hosts.relocate(host, pool, issuer, now),
         _ => {
             let wave = body["wave"].as_u64().unwrap_or_default();
-            state.hosts.maintain(host, wave, by, now)
+            state.hosts.maintain(host, wave, issuer, now)
         }
     };
-    let changed = state.hosts.hosts.get(host).map(|host| host.phase) != known;
+    let changed = state.hosts.hosts.get(host).map(|host| host.phase) != before;
     match done {
         None => json(StatusCode::BAD_REQUEST, &object!({})),
         Some(false) => json(StatusCode::CONFLICT, &object!({ "reason": "busy" })),
         Some(true) => {
             if changed {
-                state.end_life(host);
+                state.terminate_runner(host);
             }
             json(StatusCode::OK, &object!({}))
         }
--- a/crates/standin/src/cluster/state.rs
+++ b/crates/standin/src/cluster/state.rs
@@ -1,4 +1,4 @@
-//! State of a cluster, shared by its services.
+//! State that the services of a cluster share.
 
 use super::{
     Execution,
@@ -19,38 +19,38 @@
     },
 };
 
-/// Topic in which runners register.
-pub(super) const SERVERS: &str = "keyed.servers";
-/// Topic of operators.
-pub(super) const OPERATOR: &str = "keyed.op";
-/// Hosts in one rack.
-const RACK: usize = 4;
-/// Most runs of one worker.
-const ROOM: usize = 64;
+/// Topic in which runners register themselves.
+pub(super) const RUNNER_TOPIC: &str = "keyed.servers";
+/// Topic of the configuration and of waves.
+pub(super) const OPERATOR_TOPIC: &str = "keyed.op";
+/// Number of hosts in each rack.
+const HOSTS_PER_RACK: usize = 4;
+/// Largest number of tasks that a runner runs at once.
+const MAX_RUNS: usize = 64;
 
 /// A pool of a cluster.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Name.
+    /// Name of the pool.
     pub name: &'static str,
     /// Number of hosts.
     pub hosts: usize,
-    /// The hosts are switched off.
+    /// Whether the hosts of the pool are switched off.
     pub standby: bool,
 }
 
 /// A queue of a cluster.
 #[derive(Clone, Debug)]
 pub struct Queue {
-    /// Name, which is also its path.
+    /// Name of the queue, which is also its path.
     pub name: &'static str,
-    /// Pool.
+    /// Name of the pool that runs its jobs.
     pub pool: &'static str,
-    /// Urgency.
+    /// Priority of its jobs.
     pub priority: u8,
 }
 
-/// What a cluster consists of.
+/// Pools and queues of a cluster.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Pools.
@@ -59,14 +59,15 @@
     pub queues: Vec<Queue>,
 }
 
-/// A host with the address that its runner has.
+/// A host with its runner.
 #[derive(Debug)]
-pub(super) struct Site {
+pub(super) struct Node {
     pub(super) address: SocketAddr,
     pub(super) rack: String,
-    /// The present life of its runner; `None` while it is switched off or on its way.
+    /// Current instance of its runner; `None` while the host is switched off, moves or is in maintenance.
     pub(super) worker: Option<Worker>,
-    pub(super) lives: u64,
+    /// Number of runner instances started so far.
+    pub(super) instances: u64,
 }
 
 /// State of a cluster.
@@ -76,8 +77,8 @@
     pub(super) start: Instant,
     pub(super) log: Log,
     pub(super) hosts: Hosts,
-    pub(super) sites: BTreeMap<String, Site>,
-    /// Runs of earlier lives.
+    pub(super) nodes: BTreeMap<String, Node>,
+    /// Ended runs of terminated runner instances.
     pub(super) history: Vec<Execution>,
     pub(super) config_version: u64,
 }
@@ -89,33 +90,33 @@
             maintenance_time: Duration::from_millis(400),
             ..Hosts::default()
         };
-        let mut sites = BTreeMap::new();
+        let mut nodes = BTreeMap::new();
         let pools = plan.pools.iter();
         let all = pools.flat_map(|pool| std::iter::repeat_n(pool.name, pool.hosts));
         for ((index, pool), address) in all.enumerate().zip(addresses) {
             let name = format!("m-{index}");
             hosts.add(&name, pool);
-            let rack = format!("r{}", index / RACK);
-            let site = Site {
+            let rack = format!("r{}", index / HOSTS_PER_RACK);
+            let node = Node {
                 address,
                 rack,
                 worker: None,
-                lives: 0,
+                instances: 0,
             };
-            sites.insert(name, site);
+            nodes.insert(name, node);
         }
         let mut state = Self {
             plan,
             start: Instant::now(),
             log: Log::default(),
             hosts,
-            sites,
+            nodes,
             history: Vec::new(),
             config_version: 0,
         };
-        let names: Vec<String> = state.sites.keys().cloned().collect();
+        let names: Vec<String> = state.nodes.keys().cloned().collect();
         for name in names {
-            state.begin_life(&name);
+            state.start_runner(&name);
         }
         state.publish_config();
         state
@@ -132,8 +133,8 @@
         found.is_some_and(|pool| pool.standby)
     }
 
-    /// Starts the runner of a host, unless the host is switched off.
-    pub(super) fn begin_life(&mut self, host: &str) {
+    /// Starts a new runner instance on a host, unless the host is switched off.
+    pub(super) fn start_runner(&mut self, host: &str) {
         let now = self.now();
         let Some(pool) = self.hosts.hosts.get(host).map(|host| host.pool.clone()) else {
             return;
@@ -141,39 +142,39 @@
         if self.is_standby(&pool) {
             return;
         }
-        if let Some(site) = self.sites.get_mut(host) {
-            site.lives += 1;
-            let id = format!("i-{host}-{}", site.lives);
-            site.worker = Some(Worker::new(&id, unix_millis(), ROOM, 1_000, now));
+        if let Some(node) = self.nodes.get_mut(host) {
+            node.instances += 1;
+            let id = format!("i-{host}-{}", node.instances);
+            node.worker = Some(Worker::new(&id, unix_millis(), MAX_RUNS, 1_000, now));
         }
         self.register(host);
     }
 
-    /// Ends the runner of a host with all that it runs.
-    pub(super) fn end_life(&mut self, host: &str) {
+    /// Terminates the runner instance of a host and everything that it runs.
+    pub(super) fn terminate_runner(&mut self, host: &str) {
         let now = self.now();
-        let site = self.sites.get_mut(host);
-        if let Some(mut worker) = site.and_then(|site| site.worker.take()) {
+        let node = self.nodes.get_mut(host);
+        if let Some(mut worker) = node.and_then(|node| node.worker.take()) {
             worker.terminate(now);
             self.history.append(&mut worker.history);
             let record = vec![(worker.id, Vec::new())];
-            // Without a producer and a condition, an append is always accepted.
-            let _ = self.log.append(SERVERS, None, None, record);
+            // An append without a producer and a condition is never rejected.
+            let _ = self.log.append(RUNNER_TOPIC, None, None, record);
         }
     }
 
-    /// Writes the runner's own entry in the service list.
+    /// Writes the record of a runner about itself in the service list.
     pub(super) fn register(&mut self, host: &str) {
         let now = self.now();
-        let (Some(site), Some(value)) = (self.sites.get(host), self.hosts.hosts.get(host)) else {
+        let (Some(node), Some(value)) = (self.nodes.get(host), self.hosts.hosts.get(host)) else {
             return;
         };
-        let Some(worker) = &site.worker else {
+        let Some(worker) = &node.worker else {
             return;
         };
         let entry = json!({
             "service": value.pool,
-            "addr": site.address.to_string(),
+            "addr": node.address.to_string(),
             "zone": "zone",
             "version": "v1",
             "slots": 8,
@@ -182,21 +183,21 @@
             "seq": 1,
             "born": worker.born,
             "capacity": capacity(),
-            "labels": ["a", site.rack],
+            "labels": ["a", node.rack],
             "machine": host,
             "clockMs": worker.clock(now),
         });
         let record = vec![(worker.id.clone(), entry.to_string().into_bytes())];
-        let _ = self.log.append(SERVERS, None, None, record);
+        let _ = self.log.append(RUNNER_TOPIC, None, None, record);
     }
 
-    /// Lets hosts come back, and runners write their entries.
-    pub(super) fn beat(&mut self) {
+    /// Ends moves and maintenance that are due, and renews the records of all runners.
+    pub(super) fn advance(&mut self) {
         let now = self.now();
         for host in self.hosts.advance(now) {
-            self.begin_life(&host);
+            self.start_runner(&host);
         }
-        let names: Vec<String> = self.sites.keys().cloned().collect();
+        let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in names {
             self.register(&name);
         }
@@ -228,20 +229,20 @@
             "services": services,
             "limits": {},
         });
-        self.publish(OPERATOR, "config", &config);
+        self.publish(OPERATOR_TOPIC, "config", &config);
     }
 
-    /// Writes a record of an operator.
+    /// Appends a record to a topic.
     pub(super) fn publish(&mut self, topic: &str, key: &str, value: &serde_json::Value) {
         let record = vec![(key.to_owned(), value.to_string().into_bytes())];
         let _ = self.log.append(topic, None, None, record);
     }
 
-    /// Returns the host service's list.
+    /// Returns the host list in the format of the host service.
     pub(super) fn machines(&self) -> serde_json::Value {
         let row = |(name, host): (&String, &super::Host)| {
-            let site = &self.sites[name];
-            let worker = site.worker.as_ref();
+            let node = &self.nodes[name];
+            let worker = node.worker.as_ref();
             json!({
                 "machine": name,
                 "pool": host.pool,
@@ -251,7 +252,7 @@
                     Phase::Maintenance(_) => "upkeep",
                 },
                 "zone": "zone",
-                "labels": ["a", site.rack],
+                "labels": ["a", node.rack],
                 "capacity": capacity(),
                 "id": worker.map(|worker| worker.id.as_str()).unwrap_or_default(),
             })
--- a/crates/standin/src/cluster/worker.rs
+++ b/crates/standin/src/cluster/worker.rs
@@ -1,25 +1,25 @@
-//! One life of a runner: leases, fences, runs and ends.
+//! State of one runner instance: lease, fence, running and ended attempts.
 
 use std::{
     collections::HashMap,
     time::Duration, //
 };
 
-/// Why a start was not carried out.
+/// Why an order was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// A higher fence was seen.
+    /// An order with a higher fence has been received.
     StaleFence,
-    /// This attempt or a later one ended or was stopped.
+    /// This attempt or a later one of the task has ended or was stopped.
     StaleAttempt,
-    /// The lease has ended already.
+    /// The lease that the order grants has already ended.
     LeaseExpired,
     /// All run slots are in use.
     NoCapacity,
 }
 
 impl Refusal {
-    /// Returns the word on the wire.
+    /// Returns the reason in the platform's format.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::StaleFence => "fence",
@@ -30,24 +30,24 @@
     }
 }
 
-/// An order to start.
+/// An order to start an attempt.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// Name of the task.
     pub task: String,
     /// Its attempt.
     pub attempt: u32,
-    /// End of the lease by the worker's clock in milliseconds.
+    /// End of the lease by the worker's clock, in milliseconds.
     pub until: u64,
     /// Epoch of the leader.
     pub fence: u64,
-    /// How long the task takes; `None` if it lasts until it is stopped.
+    /// Duration of the task; `None` if it runs until it is stopped.
     pub duration: Option<Duration>,
-    /// It ends as failed.
+    /// Whether the task fails at its end.
     pub fails: bool,
 }
 
-/// A run.
+/// A running attempt.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Name of the task.
@@ -56,15 +56,15 @@
     pub attempt: u32,
     /// When it began.
     pub began: Duration,
-    /// When it ends by itself.
+    /// End of the task by itself; `None` if it runs until it is stopped.
     ends_at: Option<Duration>,
-    /// When its stop has ended, if it was ordered.
+    /// Time at which an ordered stop is complete.
     pub stops_at: Option<Duration>,
     fails: bool,
 }
 
 impl Run {
-    /// Returns its progress in percent; a run that lasts is at work half a second after its beginning.
+    /// Returns the progress in percent. A task without an end reports 100 percent from half a second after its start.
     pub fn percent(&self, now: Duration) -> u8 {
         let spent = now.saturating_sub(self.began);
         match self.ends_at {
@@ -90,7 +90,7 @@
     pub outcome: &'static str,
 }
 
-/// One run from its beginning to its end, for checks.
+/// A run from its start to its end, for assertions.
 #[derive(Clone, Debug)]
 pub struct Execution {
     /// Name of the task.
@@ -101,45 +101,49 @@
     pub began: Duration,
     /// When it ended.
     pub ended: Duration,
-    /// How it ended; `died` with the worker.
+    /// How it ended; `died` if the worker was terminated.
     pub outcome: &'static str,
-    /// The leader took note of the end, without a lapse of the lease before.
+    /// Whether the leader acknowledged the end before the lease ended.
     pub acknowledged: bool,
 }
 
-/// One life of a runner. All times are since the beginning of the test.
+/// One runner instance. All times are relative to the start of the test.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Identity.
+    /// Id of the instance.
     pub id: String,
-    /// Start of this life, Unix milliseconds.
+    /// Start of the instance, in milliseconds since the Unix epoch.
     pub born: u64,
-    /// Thousandths of true time that its clock shows.
+    /// Rate of its clock in thousandths of the actual rate.
     rate: u64,
+    /// Time at which its clock starts.
     clock_start: Duration,
-    /// Most runs at once.
+    /// Largest number of concurrent runs.
     max_runs: usize,
-    /// What runs.
+    /// Running attempts.
     pub runs: Vec<Run>,
-    /// Ends that were not acknowledged.
+    /// Ended attempts that the leader has not acknowledged yet.
     pub ends: Vec<End>,
-    number: u64,
+    /// Number of the last end.
+    last_end_number: u64,
+    /// Highest fence received.
     fence: u64,
-    /// It rejects lower fences.
+    /// Whether orders with a lower fence are refused.
     fenced: bool,
-    /// Time that a stop takes.
+    /// Duration of a stop.
     pub stop_time: Duration,
+    /// End of the lease by its clock, in milliseconds.
     lease_until: u64,
-    /// Highest attempt that ended or was stopped, by task.
+    /// Highest attempt of each task that has ended or was stopped.
     past_attempts: HashMap<String, u32>,
-    /// All runs that have ended, for checks.
+    /// All ended runs, for assertions.
     pub history: Vec<Execution>,
     /// Index in `history` of each unacknowledged end, by the number of the end.
     unacknowledged: HashMap<u64, usize>,
 }
 
 impl Worker {
-    /// Makes a worker whose clock shows `rate` thousandths of true time from `now` on.
+    /// Creates a worker whose clock starts at `now` and runs at `rate` thousandths of the actual rate.
     pub fn new(id: &str, born: u64, max_runs: usize, rate: u64, now: Duration) -> Self {
         Self {
             id: id.to_owned(),
@@ -149,7 +153,7 @@
             max_runs,
             runs: Vec::new(),
             ends: Vec::new(),
-            number: 0,
+            last_end_number: 0,
             fence: 0,
             fenced: true,
             stop_time: Duration::ZERO,
@@ -160,12 +164,12 @@
         }
     }
 
-    /// Sets whether it rejects lower fences, to see what a runner without fences brings about.
+    /// Sets whether orders with a lower fence are refused. Tests accept them to show the effect of missing fences.
     pub fn set_fenced(&mut self, fenced: bool) {
         self.fenced = fenced;
     }
 
-    /// Takes a fence, or refuses a lower one.
+    /// Refuses an order with a lower fence, and records a higher one.
     fn check_fence(&mut self, fence: u64) -> Result<(), Refusal> {
         if self.fenced && fence < self.fence {
             return Err(Refusal::StaleFence);
@@ -174,19 +178,19 @@
         Ok(())
     }
 
-    /// Returns its clock in milliseconds.
+    /// Returns the time of its clock in milliseconds. The clock starts at 1,000, since 0 would count as an absent clock.
     pub fn clock(&self, now: Duration) -> u64 {
         let elapsed = now.saturating_sub(self.clock_start).as_micros() as u64;
         1_000 + elapsed * self.rate / 1_000_000
     }
 
-    /// Returns when the lease ends.
+    /// Returns the time at which the lease ends.
     fn lease_end(&self) -> Duration {
         let millis = self.lease_until.saturating_sub(1_000);
         self.clock_start + Duration::from_micros(millis * 1_000_000 / self.rate)
     }
 
-    /// Ends what has ended by itself or by the end of the lease.
+    /// Ends the runs that are complete, stopped, or past the end of the lease.
     pub fn advance(&mut self, now: Duration) {
         let lease_end = self.lease_end();
         let mut due: Vec<(Duration, usize)> = Vec::new();
@@ -210,7 +214,7 @@
             self.record_end(&run, at, outcome);
         }
         if lease_end <= now {
-            // What was listed when the lease ended was not taken note of.
+            // Ends that are unacknowledged when the lease ends never count as acknowledged in the history.
             self.unacknowledged.clear();
         }
         ended.sort_unstable();
@@ -220,8 +224,9 @@
     }
 
     fn record_end(&mut self, run: &Run, at: Duration, outcome: &'static str) {
-        self.number += 1;
-        self.unacknowledged.insert(self.number, self.history.len());
+        self.last_end_number += 1;
+        self.unacknowledged
+            .insert(self.last_end_number, self.history.len());
         self.history.push(Execution {
             task: run.task.clone(),
             attempt: run.attempt,
@@ -231,7 +236,7 @@
             acknowledged: false,
         });
         self.ends.push(End {
-            number: self.number,
+            number: self.last_end_number,
             task: run.task.clone(),
             attempt: run.attempt,
             outcome,
@@ -248,7 +253,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses what the worker must not run.
+    /// Refuses an attempt that the worker must not run.
     pub fn start(&mut self, order: Start, now: Duration) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(order.fence)?;
@@ -281,11 +286,11 @@
         Ok(())
     }
 
-    /// Stops an attempt, or makes it impossible.
+    /// Stops an attempt. If it is not running, a later start of it is refused.
     ///
     /// # Errors
     ///
-    /// Refuses a lower fence.
+    /// Refuses an order with a lower fence.
     pub fn stop(
         &mut self,
         task: &str,
@@ -310,11 +315,11 @@
         Ok(())
     }
 
-    /// Renews the lease and acknowledges ends.
+    /// Renews the lease, if `until` is given, and removes the acknowledged ends.
     ///
     /// # Errors
     ///
-    /// Refuses a lower fence.
+    /// Refuses a request with a lower fence.
     pub fn renew_lease(
         &mut self,
         until: Option<u64>,
@@ -336,7 +341,7 @@
         Ok(())
     }
 
-    /// Ends this life with all that it runs.
+    /// Terminates the instance and everything that it runs.
     pub fn terminate(&mut self, now: Duration) {
         self.advance(now);
         for run in core::mem::take(&mut self.runs) {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for outside systems with seeded faults, for tests and the demo.
+//! Stand-ins for external systems with seeded faults, for tests and the demo.
 
 pub mod cluster;
 mod listener;
--- a/crates/standin/src/listener/listener.rs
+++ b/crates/standin/src/listener/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that other hosts can't reach.
+//! A listener that is reachable only from this machine.
 
 use core::net::SocketAddr;
 use std::{
@@ -9,7 +9,7 @@
 /// Opens a non-blocking listener on a loopback address.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     if !address.ip().is_loopback() {
-        let message = format!("{address}: use a loopback address");
+        let message = format!("{address} is not a loopback address: use one such as 127.0.0.1:0");
         return Err(io::Error::new(io::ErrorKind::InvalidInput, message));
     }
     let listener = TcpListener::bind(address)?;
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,30 +1,30 @@
-//! Faults that can be changed while the stand-in runs.
+//! Faults of the platform, which can be changed while the stand-in runs.
 
 use core::time::Duration;
 
-/// How the platform is out of service.
+/// Kind of outage of the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Outage {
-    /// It is in service.
+    /// No outage.
     #[default]
     None,
-    /// Connections are closed without an answer, before a request takes effect.
+    /// Connections are closed without a response, before a request takes effect.
     Closed,
-    /// Every request is answered with status 503.
+    /// Every request gets status 503.
     Unavailable,
 }
 
 /// Faults in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Faults {
-    /// Whether the platform is out of service.
+    /// Outage of the whole platform.
     pub outage: Outage,
-    /// Delay of an answer, after the request took effect.
+    /// Delay of a response after the request took effect.
     pub delay: Duration,
     /// Percentage of requests that are delayed.
     pub delay_percent: u8,
-    /// Percentage of appends that take effect and whose connection then closes without an answer.
+    /// Percentage of appends that take effect but get no response, because the connection is closed.
     pub lost_answer_percent: u8,
-    /// Age of the host list that is shown.
+    /// Time after which a change of the host list becomes visible.
     pub host_lag: Duration,
 }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's log and host list.
+//! Stand-in for the platform's log and host list, with faults.
 
 mod faults;
 mod platform;
--- a/crates/standin/src/platform/platform.rs
+++ b/crates/standin/src/platform/platform.rs
@@ -36,14 +36,14 @@
     task::JoinSet, //
 };
 
-/// How a stand-in is started.
+/// Settings of the stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Loopback address; port 0 chooses a free one.
     pub address: SocketAddr,
-    /// Newest records kept in each stream.
+    /// Number of records retained in each stream.
     pub retention: usize,
-    /// Seed of the faults that are drawn.
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
@@ -57,14 +57,14 @@
     }
 }
 
-/// Dropped when a command has been carried out.
+/// Handle that the thread drops when it has carried out a command.
 type Done = std::sync::mpsc::Sender<()>;
 
 /// A running stand-in; dropping it stops its thread.
 pub struct Platform {
     address: SocketAddr,
     store: Arc<Mutex<Store>>,
-    /// Each command closes the open connections; dropping the sender stops the thread.
+    /// Each message makes the thread close the open connections. Dropping the sender stops the thread.
     commands: Option<mpsc::Sender<Done>>,
     thread: Option<thread::JoinHandle<()>>,
 }
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -105,18 +105,18 @@
         lock(&self.store).faults = faults;
     }
 
-    /// Replaces the host list; it is shown after the lag in force.
+    /// Replaces the host list. The new list becomes visible after the current lag.
     pub fn set_hosts(&self, hosts: Vec<Host>) {
         lock(&self.store).set_hosts(hosts);
     }
 
-    /// Closes the open connections and returns when they are closed; new ones are accepted.
+    /// Closes the open connections and returns when they are closed. New connections are accepted.
     pub fn close_connections(&self) {
         let (done, wait) = std::sync::mpsc::channel();
         let commands = self.commands.as_ref();
-        // The queue is full only if another thread has just asked for the same.
+        // The channel is full only if another thread has just sent the same command.
         let _ = commands.map(|commands| commands.try_send(done));
-        // Returns an error once the sender is dropped, which is the signal.
+        // The thread signals completion by dropping the sender, which `recv` reports as an error.
         let _ = wait.recv();
     }
 
@@ -170,7 +170,7 @@
                 Ok((stream, _)) => {
                     connections.spawn(connection(stream, store.clone()));
                 }
-                // Out of file descriptors; connections in progress have to end first.
+                // The process is out of file descriptors until open connections end.
                 Err(_) => tokio::time::sleep(core::time::Duration::from_millis(10)).await,
             },
         }
@@ -178,7 +178,7 @@
 }
 
 async fn connection(stream: TcpStream, store: Arc<Mutex<Store>>) {
-    // Errors end the connection, which is all that a caller sees of a platform.
+    // An error closes the connection, and the client notices that.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| serve(&store, request));
     let _ = http1::Builder::new()
--- a/crates/standin/src/platform/service.rs
+++ b/crates/standin/src/platform/service.rs
@@ -27,8 +27,9 @@
     },
 };
 
-/// Largest record in bytes.
+/// Largest accepted request body in bytes.
 const BODY_LIMIT: usize = 16 << 20;
+/// Names of the streams.
 const STREAMS: [&str; 2] = ["config", "member"];
 
 type Answer = Result<Response<Full<Bytes>>, io::Error>;
@@ -37,7 +38,7 @@
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers one request; an error closes the connection without an answer.
+/// Responds to one request. An error closes the connection without a response.
 pub(super) async fn serve(store: &Mutex<Store>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
     let Ok(body) = Limited::new(body, BODY_LIMIT).collect().await else {
@@ -62,7 +63,12 @@
         ),
         (&Method::GET, Some(stream)) => read(store, stream, head.uri.query().unwrap_or("")),
         (&Method::POST, Some(stream)) => append(store, stream, &body.to_bytes()),
-        _ => refuse(StatusCode::NOT_FOUND, "path", path, "see the interface"),
+        _ => refuse(
+            StatusCode::NOT_FOUND,
+            "path",
+            path,
+            "use /hosts or /streams/NAME/records",
+        ),
     };
     delay(store).await;
     made
@@ -134,7 +140,7 @@
     answer(status, body.to_string())
 }
 
-/// Answers that there is nothing new.
+/// Returns a response with status 204: there is nothing new.
 fn nothing() -> Answer {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::NO_CONTENT;
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -18,10 +18,10 @@
     },
 };
 
-/// Host lists kept to show an older one.
-const HISTORY_LIMIT: usize = 64;
+/// Number of host lists kept, for the lag and for responses with only the changes.
+const MAX_LISTS: usize = 64;
 
-/// Entry of the host list.
+/// A host in the host list.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Serialize)]
 pub struct Host {
@@ -35,13 +35,13 @@
     pub rack: String,
     /// `live` or `leaving`.
     pub state: String,
-    /// Increases with each start of the host.
+    /// Number that increases with each start of the host.
     pub incarnation: u64,
 }
 
-/// A host list that was set, or the empty one before the first.
+/// One version of the host list.
 struct List {
-    set: Instant,
+    set_at: Instant,
     version: u64,
     hosts: Vec<Host>,
 }
@@ -65,7 +65,7 @@
 
 impl Store {
     pub(super) fn new(retention: usize, seed: u64) -> Self {
-        // A version must not stand for another list after a restart.
+        // Versions start at the current time, so that no version is reused for another list after a restart.
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let version = epoch.map_or(0, |time| u64::try_from(time.as_micros()).unwrap_or(0));
         Self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Draws whether a fault with this percentage happens now.
+    /// Decides at random whether a fault with this percentage occurs.
     pub(super) fn draw(&mut self, percent: u8) -> bool {
         self.random.random_range(0..100_u8) < percent
     }
@@ -99,7 +99,7 @@
         self.streams.get(stream).map_or(0, |stream| stream.end)
     }
 
-    /// Returns the answer's JSON text, or the first retained offset if `from` lies before it.
+    /// Returns a page of records as JSON text, or the first retained offset as the error if `from` lies before it.
     pub(super) fn read(&self, stream: &str, from: u64, limit: usize) -> Result<String, u64> {
         let empty = Stream::default();
         let stream = self.streams.get(stream).unwrap_or(&empty);
@@ -123,23 +123,23 @@
     pub(super) fn set_hosts(&mut self, hosts: Vec<Host>) {
         self.version += 1;
         self.lists.push_back(List {
-            set: Instant::now(),
+            set_at: Instant::now(),
             version: self.version,
             hosts,
         });
-        if self.lists.len() > HISTORY_LIMIT {
+        if self.lists.len() > MAX_LISTS {
             self.lists.pop_front();
         }
     }
 
-    /// Returns the newest list that is old enough, what changed in it since a version, or nothing if it has that
-    /// version.
+    /// Returns the newest visible list as JSON text: only the changes if the version `since` is still known, the whole list
+    /// otherwise, or `None` if `since` is its version.
     pub(super) fn hosts(&self, since: Option<u64>) -> Option<String> {
         let lag = self.faults.host_lag;
         let mut lists = self.lists.iter().rev();
-        let shown = lists.find(|list| list.set.elapsed() >= lag);
-        // A version that is never set stands for the empty list.
-        let (version, hosts) = shown.map_or((0, &[][..]), |list| (list.version, &list.hosts));
+        let visible = lists.find(|list| list.set_at.elapsed() >= lag);
+        // No list has version 0, so it denotes the empty list before the first one is visible.
+        let (version, hosts) = visible.map_or((0, &[][..]), |list| (list.version, &list.hosts));
         if since == Some(version) {
             return None;
         }
@@ -162,7 +162,7 @@
     }
 }
 
-/// Returns the hosts by name, unless a name stands for several of them.
+/// Returns the hosts by name, or `None` if several hosts have the same name.
 fn by_name(hosts: &[Host]) -> Option<HashMap<&str, &Host>> {
     let names: HashMap<&str, &Host> = hosts.iter().map(|host| (&*host.host, host)).collect();
     (names.len() == hosts.len()).then_some(names)
--- a/crates/standin/src/runner/mod.rs
+++ b/crates/standin/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the upstream process on a host.
+//! Stand-in for the upstream process on a host.
 
 mod faults;
 mod runner;
--- a/crates/standin/src/runner/runner.rs
+++ b/crates/standin/src/runner/runner.rs
@@ -36,20 +36,20 @@
     },
 };
 
-/// How a runner is started.
+/// Settings of a runner.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Loopback address; port 0 chooses a free one.
     pub address: SocketAddr,
-    /// Name that answers carry.
+    /// Name of the runner, which its responses carry in a header.
     pub name: String,
-    /// Requests that run at once; more wait.
+    /// Largest number of requests that run at once; further requests wait.
     pub slots: usize,
-    /// Connections at once; more are closed.
+    /// Largest number of open connections; further connections are closed.
     pub connections: usize,
-    /// Time that a request takes unless it asks for another one.
+    /// Service time of a request that names none.
     pub service_time: Duration,
-    /// Seed of the faults that are drawn.
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -117,17 +117,17 @@
         lock(&self.state).faults = faults;
     }
 
-    /// Returns how many requests have run.
+    /// Returns the number of requests that have started to run.
     pub fn runs(&self) -> u64 {
         lock(&self.state).runs
     }
 
-    /// Returns the most requests that ran at the same time.
+    /// Returns the largest number of requests that ran at the same time.
     pub fn most_running(&self) -> u32 {
         lock(&self.state).most_running
     }
 
-    /// Returns how often each key has run.
+    /// Returns each idempotency key with the number of its runs.
     pub fn runs_by_key(&self) -> Vec<(String, u32)> {
         let state = lock(&self.state);
         state
@@ -157,7 +157,7 @@
     let settings = Arc::new(settings);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors; connections in progress have to end first.
+            // The process is out of file descriptors until open connections end.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -182,7 +182,7 @@
     slots: Arc<Semaphore>,
     _permit: OwnedSemaphorePermit,
 ) {
-    // Errors end the connection, which is all that a caller sees of a runner.
+    // An error closes the connection, and the client notices that.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| async {
         let _slot = slots.acquire().await.map_err(io::Error::other)?;
--- a/crates/standin/src/runner/service.rs
+++ b/crates/standin/src/runner/service.rs
@@ -1,4 +1,4 @@
-//! What a runner does with a request.
+//! Handling of requests by a runner.
 
 use super::Faults;
 use bytes::Bytes;
@@ -28,23 +28,23 @@
     },
 };
 
-/// Header with which a caller asks for a service time in milliseconds.
-const SERVICE_TIME: &str = "standin-service-ms";
+/// Header with the service time that a request takes, in milliseconds.
+const SERVICE_TIME_HEADER: &str = "standin-service-ms";
 
-/// What a runner remembers.
+/// State of a runner.
 pub(super) struct State {
     pub(super) faults: Faults,
     pub(super) runs: u64,
     pub(super) running: u32,
     pub(super) most_running: u32,
-    /// Runs of each keyed request.
+    /// Number of runs by idempotency key.
     pub(super) keys: HashMap<String, u32>,
     random: StdRng,
 }
 
-/// Faults that one request meets.
-struct Fate {
-    late: Duration,
+/// Faults of one request, drawn at random.
+struct RequestFaults {
+    delay: Duration,
     reset_before: bool,
     reset_after: bool,
     silent: bool,
@@ -64,11 +64,11 @@
         }
     }
 
-    fn fate(&mut self) -> Fate {
+    fn draw_faults(&mut self) -> RequestFaults {
         let faults = self.faults;
         let mut draw = |percent: u8| self.random.random_range(0..100) < u32::from(percent);
-        Fate {
-            late: match draw(faults.late_percent) {
+        RequestFaults {
+            delay: match draw(faults.late_percent) {
                 true => faults.delay,
                 false => Duration::ZERO,
             },
@@ -90,7 +90,7 @@
     }
 }
 
-/// Counts a request as running until it is dropped.
+/// Guard that counts a request as running until it is dropped.
 struct Running<'a>(&'a Mutex<State>);
 
 impl Drop for Running<'_> {
@@ -99,57 +99,62 @@
     }
 }
 
-/// Runs a request and answers with its target and body.
+/// Runs a request and responds with its method, path and body.
 pub(super) async fn serve(
     state: &Mutex<State>,
     name: &str,
     service_time: Duration,
     request: Request<Incoming>,
 ) -> io::Result<Response<Full<Bytes>>> {
-    let fate = lock(state).fate();
+    let faults = lock(state).draw_faults();
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    if fate.reset_before {
+    if faults.reset_before {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
-    if fate.error {
+    if faults.error {
         return Ok(respond(
             name,
             StatusCode::INTERNAL_SERVER_ERROR,
             Bytes::new(),
-            &fate,
+            &faults,
         ));
     }
     let text = |name: &str| Some(parts.headers.get(name)?.to_str().ok()?.to_owned());
-    let asked = text(SERVICE_TIME).and_then(|millis| millis.parse().ok());
-    let service_time = asked.map_or(service_time, Duration::from_millis);
+    let requested = text(SERVICE_TIME_HEADER).and_then(|millis| millis.parse().ok());
+    let service_time = requested.map_or(service_time, Duration::from_millis);
     lock(state).begin(text("idempotency-key"));
     let running = Running(state);
-    let time = service_time + fate.late;
+    let time = service_time + faults.delay;
     if !time.is_zero() {
-        // Even the shortest sleep takes a millisecond.
+        // A timer of `tokio` takes at least a millisecond, however short the time is.
         tokio::time::sleep(time).await;
     }
-    if fate.silent {
+    if faults.silent {
         core::future::pending::<()>().await;
     }
     drop(running);
-    if fate.reset_after {
+    if faults.reset_after {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     let mut answer = format!("{} {} ", parts.method, parts.uri.path()).into_bytes();
     answer.extend_from_slice(&body);
-    Ok(respond(name, StatusCode::OK, answer.into(), &fate))
+    Ok(respond(name, StatusCode::OK, answer.into(), &faults))
 }
 
-fn respond(name: &str, status: StatusCode, body: Bytes, fate: &Fate) -> Response<Full<Bytes>> {
+fn respond(
+    name: &str,
+    status: StatusCode,
+    body: Bytes,
+    faults: &RequestFaults,
+) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     if let Ok(name) = name.parse() {
         headers.insert("standin-runner", name);
     }
-    if fate.draining {
+    if faults.draining {
         headers.insert(
             "sassafrascrank-draining",
             hyper::header::HeaderValue::from_static("1"),
@@ -159,6 +164,6 @@
 }
 
 pub(super) fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    // A panic while holding the lock leaves counts that are still usable.
+    // The state stays usable after a panic of a thread that held the lock.
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
