--- a/crates/control/tests/simulation/event.rs
+++ b/crates/control/tests/simulation/event.rs
@@ -29,7 +29,7 @@
     },
 };
 use sassafrascrank_standin::cluster::{
-    Refused,
+    Refusal,
     Start, //
 };
 
@@ -208,7 +208,7 @@
         let now = self.now;
         let fences = self.scenario.fences;
         let runner = &mut self.runners[runner];
-        runner.worker.die(now);
+        runner.worker.terminate(now);
         runner.history.append(&mut runner.worker.history);
         runner.incarnation += 1;
         let id = format!("{}-{}", runner.host, runner.incarnation);
@@ -324,7 +324,7 @@
                         attempt: start.attempt,
                         until: start.until,
                         fence: start.target.fence,
-                        work: Some(work),
+                        duration: Some(work),
                         fails,
                     },
                     now,
@@ -348,7 +348,8 @@
                 }
             }
             Order::Poll(poll) => {
-                let held = worker.hold(poll.until, poll.target.fence, poll.acknowledged, now);
+                let held =
+                    worker.renew_lease(poll.until, poll.target.fence, poll.acknowledged, now);
                 let result = held.map(|()| view(worker, now)).map_err(refusal);
                 Report::Poll {
                     runner: poll.target.runner,
@@ -458,12 +459,12 @@
     }
 }
 
-fn refusal(refused: Refused) -> Failure {
+fn refusal(refused: Refusal) -> Failure {
     match refused {
-        Refused::Fence => Failure::Fenced,
-        Refused::Old => Failure::StaleAttempt,
-        Refused::Late => Failure::LeaseExpired,
-        Refused::Room => Failure::NoCapacity,
+        Refusal::StaleFence => Failure::Fenced,
+        Refusal::StaleAttempt => Failure::StaleAttempt,
+        Refusal::LeaseExpired => Failure::LeaseExpired,
+        Refusal::NoCapacity => Failure::NoCapacity,
     }
 }
 
@@ -480,7 +481,7 @@
         number: end.number,
         task: task(&end.task),
         attempt: end.attempt,
-        reason: match end.how {
+        reason: match end.outcome {
             "done" => EndReason::Done,
             "failed" => EndReason::Failed,
             "lapsed" => EndReason::LeaseExpired,
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -25,7 +25,7 @@
     runner::Listed,
 };
 use sassafrascrank_standin::cluster::{
-    Interval,
+    Execution,
     Log,
     Worker, //
 };
@@ -87,7 +87,7 @@
     /// For each entry, when its connection to the runner is back.
     cut_until: Vec<Duration>,
     /// Attempts that earlier incarnations ran.
-    history: Vec<Interval>,
+    history: Vec<Execution>,
 }
 
 /// A job, and the answers that its caller received.
--- a/crates/control/tests/simulation/verdict.rs
+++ b/crates/control/tests/simulation/verdict.rs
@@ -6,7 +6,7 @@
     progress::Outcome,
     replica::State, //
 };
-use sassafrascrank_standin::cluster::Interval;
+use sassafrascrank_standin::cluster::Execution;
 use std::collections::BTreeMap;
 
 /// Result of the checks at the end of a run. Each number except `ran` has to be 0.
@@ -30,17 +30,17 @@
             ran: simulation.starts.len(),
             ..Self::default()
         };
-        let mut tasks: BTreeMap<String, Vec<Interval>> = BTreeMap::new();
+        let mut tasks: BTreeMap<String, Vec<Execution>> = BTreeMap::new();
         let now = simulation.now;
         for runner in &mut simulation.runners {
             runner.worker.advance(now);
-            let running = runner.worker.runs.iter().map(|run| Interval {
+            let running = runner.worker.runs.iter().map(|run| Execution {
                 task: run.task.clone(),
                 attempt: run.attempt,
                 began: run.began,
                 ended: Duration::MAX,
-                how: "running",
-                noted: false,
+                outcome: "running",
+                acknowledged: false,
             });
             let ended = runner.history.iter().chain(&runner.worker.history).cloned();
             for interval in ended.chain(running) {
@@ -58,20 +58,20 @@
         verdict
     }
 
-    fn check(&mut self, intervals: &[Interval]) {
+    fn check(&mut self, intervals: &[Execution]) {
         for (index, first) in intervals.iter().enumerate() {
             for second in &intervals[index + 1..] {
                 if second.began < first.ended {
                     self.overlapping += 1;
                 }
-                if first.how == "done" && first.noted {
+                if first.outcome == "done" && first.acknowledged {
                     self.repeated += 1;
                 }
             }
         }
     }
 
-    fn check_jobs(&mut self, simulation: &Simulation, tasks: &BTreeMap<String, Vec<Interval>>) {
+    fn check_jobs(&mut self, simulation: &Simulation, tasks: &BTreeMap<String, Vec<Execution>>) {
         let states: Vec<_> = simulation
             .entries
             .iter()
@@ -94,7 +94,7 @@
 }
 
 /// Tells whether an attempt of the job is running at the end.
-fn is_running(tasks: &BTreeMap<String, Vec<Interval>>, job: &str) -> bool {
+fn is_running(tasks: &BTreeMap<String, Vec<Execution>>, job: &str) -> bool {
     let mut tasks = tasks.iter().filter(|(task, _)| task.starts_with(job));
-    tasks.any(|(_, intervals)| intervals.iter().any(|run| run.how == "running"))
+    tasks.any(|(_, intervals)| intervals.iter().any(|run| run.outcome == "running"))
 }
--- a/crates/platform/src/follow/mod.rs
+++ b/crates/platform/src/follow/mod.rs
@@ -1,11 +1,11 @@
-//! Reading the stream `config` into a ledger state.
+//! Application of the stream `config` to a ledger state.
 
 mod follow;
 
 pub use follow::{
-    PAGE_LIMIT,
+    AppliedRecord,
+    MAX_PAGE_RECORDS,
     Progress,
-    Step,
+    apply_page, //
     catch_up,
-    follow, //
 };
--- a/crates/platform/tests/wire.rs
+++ b/crates/platform/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Serialised records, pages and hosts.
+//! Wire format of records, pages and hosts.
 
 use proptest::prelude::*;
 use sassafrascrank_base::{
@@ -26,8 +26,8 @@
         self, config,
         member::{
             self,
-            Act,
             Membership, //
+            Transition,
         },
     },
 };
@@ -86,12 +86,12 @@
                 floor,
                 values: values
                     .map(|((subject, value), offset, writer)| {
-                        let held = Revision {
+                        let revision = Revision {
                             offset,
                             writer,
                             value,
                         };
-                        (subject, held)
+                        (subject, revision)
                     })
                     .collect(),
                 writers: writers
@@ -114,15 +114,17 @@
 
 fn membership() -> impl Strategy<Value = Membership> {
     let address = (any::<[u8; 4]>(), any::<u16>()).prop_map(std::net::SocketAddr::from);
-    let join = (name(), address).prop_map(|(zone, address)| Act::Join { zone, address });
-    let retire = name().prop_map(|by| Act::Retire { by });
-    let act = prop_oneof![join, Just(Act::Leave), retire];
-    (origin(), name(), any::<u64>(), act).prop_map(|(origin, host, incarnation, act)| Membership {
-        origin,
-        host,
-        incarnation,
-        act,
-    })
+    let join = (name(), address).prop_map(|(zone, address)| Transition::Join { zone, address });
+    let retire = name().prop_map(|by| Transition::Retire { by });
+    let transition = prop_oneof![join, Just(Transition::Leave), retire];
+    (origin(), name(), any::<u64>(), transition).prop_map(
+        |(origin, host, incarnation, transition)| Membership {
+            origin,
+            host,
+            incarnation,
+            transition,
+        },
+    )
 }
 
 fn host() -> impl Strategy<Value = Host> {
@@ -148,37 +150,37 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a field of a configuration record that is lost or changed on the way through the log.
+    /// Guards against a field of a configuration record that encoding or decoding loses or changes.
     #[test]
-    fn a_configuration_record_survives_the_wire(record in prop_oneof![change(), snapshot()]) {
+    fn configuration_record_round_trips(record in prop_oneof![change(), snapshot()]) {
         prop_assert_eq!(config::decode(&config::encode(&record)), Ok(record));
     }
 
-    /// Guards against a field of a membership record that is lost or changed on the way through the log.
+    /// Guards against a field of a membership record that encoding or decoding loses or changes.
     #[test]
-    fn a_membership_record_survives_the_wire(record in membership()) {
+    fn membership_record_round_trips(record in membership()) {
         prop_assert_eq!(member::decode(&member::encode(&record)), Ok(record));
     }
 
-    /// Guards against a host whose address, place or state is lost or changed.
+    /// Guards against a field of a host that encoding or decoding loses or changes.
     #[test]
-    fn a_host_survives_the_wire(host in host()) {
+    fn host_round_trips(host in host()) {
         let text = serde_json::to_string(&wire::host::Host::from(&host)).unwrap();
         prop_assert_eq!(wire::decode::<wire::host::Host, Host>(&text), Ok(host));
     }
 
-    /// Guards against a panic on a record of arbitrary text.
+    /// Guards against a panic on arbitrary text, and against its acceptance as a record.
     #[test]
-    fn arbitrary_text_is_refused(text in "\\PC{0,200}") {
+    fn arbitrary_text_is_rejected(text in "\\PC{0,200}") {
         prop_assert!(config::decode(&text).is_err());
         prop_assert!(member::decode(&text).is_err());
     }
 }
 
-/// Guards against a record that is taken although a value is bad, and against a message without field, value and
+/// Guards against a record that is accepted although a value is invalid, and against an error without field, value and
 /// remedy.
 #[test]
-fn bad_records_name_field_value_and_remedy() {
+fn errors_of_invalid_records_name_field_value_and_remedy() {
     let origin = r#""origin":{"writer":"w","incarnation":1,"sequence":1}"#;
     let entry = |text: &str| format!(r#"{{"change":{{{origin},"entries":[{text}]}}}}"#);
     let configs = [
@@ -240,9 +242,9 @@
     insta::assert_snapshot!(messages);
 }
 
-/// Guards against a change of the record formats that older processes can't read.
+/// Guards against a change of the record formats that other versions of the processes can't decode.
 #[test]
-fn the_record_formats_stay_as_documented() {
+fn record_formats_match_the_documentation() {
     let origin = Origin {
         writer: Name::new("ops").unwrap(),
         incarnation: 7,
@@ -260,7 +262,7 @@
             value: value.clone(),
         }],
     });
-    let held = Revision {
+    let revision = Revision {
         offset: 5,
         writer: origin.writer.clone(),
         value,
@@ -271,7 +273,7 @@
         image: Image {
             through: 5,
             floor: 0,
-            values: vec![(subject, held)],
+            values: vec![(subject, revision)],
             writers: vec![WriterState {
                 writer: origin.writer.clone(),
                 incarnation: 7,
@@ -280,26 +282,26 @@
             }],
         },
     });
-    let membership = |act| {
+    let membership = |transition| {
         member::encode(&Membership {
             origin: origin.clone(),
             host: Name::new("entry1").unwrap(),
             incarnation: 9,
-            act,
+            transition,
         })
     };
-    let join = membership(Act::Join {
+    let join = membership(Transition::Join {
         zone: Name::new("suva").unwrap(),
         address: "10.0.0.7:8080".parse().unwrap(),
     });
-    let retire = membership(Act::Retire {
+    let retire = membership(Transition::Retire {
         by: Name::new("entry2").unwrap(),
     });
     let lines = [
         config::encode(&change),
         config::encode(&snapshot),
         join,
-        membership(Act::Leave),
+        membership(Transition::Leave),
         retire,
     ];
     insta::assert_snapshot!(lines.join("\n"));
--- a/crates/standin/src/cluster/worker.rs
+++ b/crates/standin/src/cluster/worker.rs
@@ -1,53 +1,53 @@
-//! One life of a runner: leases, fences, runs and ends.
+//! State of one runner instance: lease, fence, running and ended attempts.
 
 use std::{
     collections::HashMap,
     time::Duration, //
 };
 
-/// Why a start was not carried out.
+/// Why an order was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refused {
-    /// A higher fence was seen.
-    Fence,
-    /// This attempt or a later one ended or was stopped.
-    Old,
-    /// The lease has ended already.
-    Late,
-    /// There is no room.
-    Room,
+pub enum Refusal {
+    /// An order with a higher fence has been received.
+    StaleFence,
+    /// This attempt or a later one of the task has ended or was stopped.
+    StaleAttempt,
+    /// The lease that the order grants has already ended.
+    LeaseExpired,
+    /// All run slots are in use.
+    NoCapacity,
 }
 
-impl Refused {
-    /// Returns the word on the wire.
+impl Refusal {
+    /// Returns the reason in the platform's format.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Fence => "fence",
-            Self::Old => "old",
-            Self::Late => "late",
-            Self::Room => "room",
+            Self::StaleFence => "fence",
+            Self::StaleAttempt => "old",
+            Self::LeaseExpired => "late",
+            Self::NoCapacity => "room",
         }
     }
 }
 
-/// An order to start.
+/// An order to start an attempt.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// Name of the task.
     pub task: String,
     /// Its attempt.
     pub attempt: u32,
-    /// End of the lease by the worker's clock in milliseconds.
+    /// End of the lease by the worker's clock, in milliseconds.
     pub until: u64,
     /// Epoch of the leader.
     pub fence: u64,
-    /// How long the task takes; `None` if it lasts until it is stopped.
-    pub work: Option<Duration>,
-    /// It ends as failed.
+    /// Duration of the task; `None` if it runs until it is stopped.
+    pub duration: Option<Duration>,
+    /// Whether the task fails at its end.
     pub fails: bool,
 }
 
-/// A run.
+/// A running attempt.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Name of the task.
@@ -56,18 +56,18 @@
     pub attempt: u32,
     /// When it began.
     pub began: Duration,
-    /// When it ends by itself.
-    ends: Option<Duration>,
-    /// When its stop has ended, if it was ordered.
-    pub stops: Option<Duration>,
+    /// End of the task by itself; `None` if it runs until it is stopped.
+    ends_at: Option<Duration>,
+    /// Time at which an ordered stop is complete.
+    pub stops_at: Option<Duration>,
     fails: bool,
 }
 
 impl Run {
-    /// Returns its progress in percent; a run that lasts is at work half a second after its beginning.
+    /// Returns the progress in percent. A task without an end reports 100 percent from half a second after its start.
     pub fn percent(&self, now: Duration) -> u8 {
         let spent = now.saturating_sub(self.began);
-        match self.ends {
+        match self.ends_at {
             None => 100 * u8::from(spent >= Duration::from_millis(500)),
             Some(ends) => {
                 let whole = (ends - self.began).as_micros().max(1);
@@ -77,7 +77,7 @@
     }
 }
 
-/// An end that is listed.
+/// An ended run that the leader has not acknowledged yet.
 #[derive(Clone, Debug)]
 pub struct End {
     /// Its number.
@@ -87,12 +87,12 @@
     /// Its attempt.
     pub attempt: u32,
     /// How it ended.
-    pub how: &'static str,
+    pub outcome: &'static str,
 }
 
-/// One run from its beginning to its end, for checks.
+/// A run from its start to its end, for assertions.
 #[derive(Clone, Debug)]
-pub struct Interval {
+pub struct Execution {
     /// Name of the task.
     pub task: String,
     /// Its attempt.
@@ -101,98 +101,102 @@
     pub began: Duration,
     /// When it ended.
     pub ended: Duration,
-    /// How it ended; `died` with the worker.
-    pub how: &'static str,
-    /// The leader took note of the end, without a lapse of the lease before.
-    pub noted: bool,
+    /// How it ended; `died` if the worker was terminated.
+    pub outcome: &'static str,
+    /// Whether the leader acknowledged the end before the lease ended.
+    pub acknowledged: bool,
 }
 
-/// One life of a runner. All times are since the beginning of the test.
+/// One runner instance. All times are relative to the start of the test.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Identity.
+    /// Id of the instance.
     pub id: String,
-    /// Start of this life, Unix milliseconds.
+    /// Start of the instance, in milliseconds since the Unix epoch.
     pub born: u64,
-    /// Thousandths of true time that its clock shows.
+    /// Rate of its clock in thousandths of the actual rate.
     rate: u64,
-    epoch: Duration,
-    /// Most runs at once.
-    room: usize,
-    /// What runs.
+    /// Time at which its clock starts.
+    clock_start: Duration,
+    /// Largest number of concurrent runs.
+    max_runs: usize,
+    /// Running attempts.
     pub runs: Vec<Run>,
-    /// Ends that were not acknowledged.
+    /// Ended attempts that the leader has not acknowledged yet.
     pub ends: Vec<End>,
-    number: u64,
+    /// Number of the last end.
+    last_end_number: u64,
+    /// Highest fence received.
     fence: u64,
-    /// It rejects lower fences.
+    /// Whether orders with a lower fence are refused.
     fenced: bool,
-    /// Time that a stop takes.
+    /// Duration of a stop.
     pub stop_time: Duration,
-    until: u64,
-    /// Highest attempt that ended or was stopped, by task.
-    past: HashMap<String, u32>,
-    /// All runs that have ended, for checks.
-    pub history: Vec<Interval>,
-    /// Positions in the history of ends that are listed.
-    listed: HashMap<u64, usize>,
+    /// End of the lease by its clock, in milliseconds.
+    lease_until: u64,
+    /// Highest attempt of each task that has ended or was stopped.
+    past_attempts: HashMap<String, u32>,
+    /// All ended runs, for assertions.
+    pub history: Vec<Execution>,
+    /// Index in `history` of each unacknowledged end, by the number of the end.
+    unacknowledged: HashMap<u64, usize>,
 }
 
 impl Worker {
-    /// Makes a worker whose clock shows `rate` thousandths of true time from `now` on.
-    pub fn new(id: &str, born: u64, room: usize, rate: u64, now: Duration) -> Self {
+    /// Creates a worker whose clock starts at `now` and runs at `rate` thousandths of the actual rate.
+    pub fn new(id: &str, born: u64, max_runs: usize, rate: u64, now: Duration) -> Self {
         Self {
             id: id.to_owned(),
             born,
             rate,
-            epoch: now,
-            room,
+            clock_start: now,
+            max_runs,
             runs: Vec::new(),
             ends: Vec::new(),
-            number: 0,
+            last_end_number: 0,
             fence: 0,
             fenced: true,
             stop_time: Duration::ZERO,
-            until: 0,
-            past: HashMap::new(),
+            lease_until: 0,
+            past_attempts: HashMap::new(),
             history: Vec::new(),
-            listed: HashMap::new(),
+            unacknowledged: HashMap::new(),
         }
     }
 
-    /// Sets whether it rejects lower fences, to see what a runner without fences brings about.
+    /// Sets whether orders with a lower fence are refused. Tests accept them to show the effect of missing fences.
     pub fn set_fenced(&mut self, fenced: bool) {
         self.fenced = fenced;
     }
 
-    /// Takes a fence, or refuses a lower one.
-    fn check_fence(&mut self, fence: u64) -> Result<(), Refused> {
+    /// Refuses an order with a lower fence, and records a higher one.
+    fn check_fence(&mut self, fence: u64) -> Result<(), Refusal> {
         if self.fenced && fence < self.fence {
-            return Err(Refused::Fence);
+            return Err(Refusal::StaleFence);
         }
         self.fence = self.fence.max(fence);
         Ok(())
     }
 
-    /// Returns its clock in milliseconds.
+    /// Returns the time of its clock in milliseconds. The clock starts at 1,000, since 0 would count as an absent clock.
     pub fn clock(&self, now: Duration) -> u64 {
-        let elapsed = now.saturating_sub(self.epoch).as_micros() as u64;
+        let elapsed = now.saturating_sub(self.clock_start).as_micros() as u64;
         1_000 + elapsed * self.rate / 1_000_000
     }
 
-    /// Returns when the lease ends.
-    fn lapse(&self) -> Duration {
-        let millis = self.until.saturating_sub(1_000);
-        self.epoch + Duration::from_micros(millis * 1_000_000 / self.rate)
+    /// Returns the time at which the lease ends.
+    fn lease_end(&self) -> Duration {
+        let millis = self.lease_until.saturating_sub(1_000);
+        self.clock_start + Duration::from_micros(millis * 1_000_000 / self.rate)
     }
 
-    /// Ends what has ended by itself or by the end of the lease.
+    /// Ends the runs that are complete, stopped, or past the end of the lease.
     pub fn advance(&mut self, now: Duration) {
-        let lapse = self.lapse();
+        let lease_end = self.lease_end();
         let mut due: Vec<(Duration, usize)> = Vec::new();
         for (index, run) in self.runs.iter().enumerate() {
-            let ends = [run.ends, run.stops].into_iter().flatten();
-            let at = ends.fold(lapse, Duration::min);
+            let ends = [run.ends_at, run.stops_at].into_iter().flatten();
+            let at = ends.fold(lease_end, Duration::min);
             if at <= now {
                 due.push((at, index));
             }
@@ -201,17 +205,17 @@
         let mut ended: Vec<usize> = due.iter().map(|(_, index)| *index).collect();
         for (at, index) in due {
             let run = self.runs[index].clone();
-            let how = match run.ends {
-                _ if run.stops == Some(at) => "stopped",
-                Some(ends) if ends <= lapse && run.fails => "failed",
-                Some(ends) if ends <= lapse => "done",
+            let outcome = match run.ends_at {
+                _ if run.stops_at == Some(at) => "stopped",
+                Some(ends) if ends <= lease_end && run.fails => "failed",
+                Some(ends) if ends <= lease_end => "done",
                 _ => "lapsed",
             };
-            self.list(&run, at, how);
+            self.record_end(&run, at, outcome);
         }
-        if lapse <= now {
-            // What was listed when the lease ended was not taken note of.
-            self.listed.clear();
+        if lease_end <= now {
+            // Ends that are unacknowledged when the lease ends never count as acknowledged in the history.
+            self.unacknowledged.clear();
         }
         ended.sort_unstable();
         for index in ended.into_iter().rev() {
@@ -219,37 +223,38 @@
         }
     }
 
-    fn list(&mut self, run: &Run, at: Duration, how: &'static str) {
-        self.number += 1;
-        self.listed.insert(self.number, self.history.len());
-        self.history.push(Interval {
+    fn record_end(&mut self, run: &Run, at: Duration, outcome: &'static str) {
+        self.last_end_number += 1;
+        self.unacknowledged
+            .insert(self.last_end_number, self.history.len());
+        self.history.push(Execution {
             task: run.task.clone(),
             attempt: run.attempt,
             began: run.began,
             ended: at,
-            how,
-            noted: false,
+            outcome,
+            acknowledged: false,
         });
         self.ends.push(End {
-            number: self.number,
+            number: self.last_end_number,
             task: run.task.clone(),
             attempt: run.attempt,
-            how,
+            outcome,
         });
-        self.raise(&run.task, run.attempt);
+        self.raise_past_attempt(&run.task, run.attempt);
     }
 
-    fn raise(&mut self, task: &str, attempt: u32) {
-        let past = self.past.entry(task.to_owned()).or_default();
-        *past = (*past).max(attempt);
+    fn raise_past_attempt(&mut self, task: &str, attempt: u32) {
+        let highest = self.past_attempts.entry(task.to_owned()).or_default();
+        *highest = (*highest).max(attempt);
     }
 
     /// Starts an attempt.
     ///
     /// # Errors
     ///
-    /// Refuses what the worker must not run.
-    pub fn start(&mut self, order: Start, now: Duration) -> Result<(), Refused> {
+    /// Refuses an attempt that the worker must not run.
+    pub fn start(&mut self, order: Start, now: Duration) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(order.fence)?;
         let same = |run: &Run| run.task == order.task && run.attempt == order.attempt;
@@ -257,42 +262,42 @@
             return Ok(());
         }
         if self
-            .past
+            .past_attempts
             .get(&order.task)
-            .is_some_and(|past| order.attempt <= *past)
+            .is_some_and(|highest| order.attempt <= *highest)
         {
-            return Err(Refused::Old);
+            return Err(Refusal::StaleAttempt);
         }
         if order.until <= self.clock(now) {
-            return Err(Refused::Late);
+            return Err(Refusal::LeaseExpired);
         }
-        self.until = self.until.max(order.until);
-        if self.runs.len() >= self.room {
-            return Err(Refused::Room);
+        self.lease_until = self.lease_until.max(order.until);
+        if self.runs.len() >= self.max_runs {
+            return Err(Refusal::NoCapacity);
         }
         self.runs.push(Run {
             task: order.task,
             attempt: order.attempt,
             began: now,
-            ends: order.work.map(|work| now + work),
-            stops: None,
+            ends_at: order.duration.map(|duration| now + duration),
+            stops_at: None,
             fails: order.fails,
         });
         Ok(())
     }
 
-    /// Stops an attempt, or makes it impossible.
+    /// Stops an attempt. If it is not running, a later start of it is refused.
     ///
     /// # Errors
     ///
-    /// Refuses a lower fence.
+    /// Refuses an order with a lower fence.
     pub fn stop(
         &mut self,
         task: &str,
         attempt: u32,
         fence: u64,
         now: Duration,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(fence)?;
         let found = self
@@ -302,51 +307,51 @@
         match found {
             Some(found) => {
                 let stops = now + self.stop_time;
-                self.runs[found].stops.get_or_insert(stops);
+                self.runs[found].stops_at.get_or_insert(stops);
                 self.advance(now);
             }
-            None => self.raise(task, attempt),
+            None => self.raise_past_attempt(task, attempt),
         }
         Ok(())
     }
 
-    /// Renews the lease and acknowledges ends.
+    /// Renews the lease, if `until` is given, and removes the acknowledged ends.
     ///
     /// # Errors
     ///
-    /// Refuses a lower fence.
-    pub fn hold(
+    /// Refuses a request with a lower fence.
+    pub fn renew_lease(
         &mut self,
         until: Option<u64>,
         fence: u64,
         acknowledged: u64,
         now: Duration,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), Refusal> {
         self.advance(now);
         self.check_fence(fence)?;
         for end in self.ends.iter().filter(|end| end.number <= acknowledged) {
-            if let Some(&at) = self.listed.get(&end.number) {
-                self.history[at].noted = true;
+            if let Some(&at) = self.unacknowledged.get(&end.number) {
+                self.history[at].acknowledged = true;
             }
         }
         self.ends.retain(|end| end.number > acknowledged);
         if let Some(until) = until {
-            self.until = self.until.max(until);
+            self.lease_until = self.lease_until.max(until);
         }
         Ok(())
     }
 
-    /// Ends this life with all that it runs.
-    pub fn die(&mut self, now: Duration) {
+    /// Terminates the instance and everything that it runs.
+    pub fn terminate(&mut self, now: Duration) {
         self.advance(now);
         for run in core::mem::take(&mut self.runs) {
-            self.history.push(Interval {
+            self.history.push(Execution {
                 task: run.task,
                 attempt: run.attempt,
                 began: run.began,
                 ended: now,
-                how: "died",
-                noted: false,
+                outcome: "died",
+                acknowledged: false,
             });
         }
     }
