--- a/crates/schedule/src/engine/gang.rs
+++ b/crates/schedule/src/engine/gang.rs
@@ -121,7 +121,9 @@
                 let mut whole = runner.used;
                 whole += used;
                 rack.is_none_or(|rack| *runner.rack == *rack)
-                    && spec.max_per_runner.is_none_or(|spread| count < spread)
+                    && spec
+                        .max_per_runner
+                        .is_none_or(|max_per_runner| count < max_per_runner)
                     && runner.capacity.fits(whole, spec.reserved())
             })?;
             let entry = taken.entry(runner_key).or_default();
--- a/crates/schedule/src/engine/place.rs
+++ b/crates/schedule/src/engine/place.rs
@@ -122,10 +122,12 @@
         now: Time,
     ) -> Option<runner::Key> {
         let spec = self.step_spec(task)?;
-        let (need, spread) = (spec.reserved(), spec.max_per_runner);
+        let (need, max_per_runner) = (spec.reserved(), spec.max_per_runner);
         let room = |key, runner: &Runner| {
             runner.fits(need)
-                && spread.is_none_or(|spread| self.count(key, task.step()) < usize::from(spread))
+                && max_per_runner.is_none_or(|max_per_runner| {
+                    self.count(key, task.step()) < usize::from(max_per_runner)
+                })
         };
         self.choose(task.step(), avoid, now, room)
     }
--- a/crates/schedule/tests/engine/harness/fixture.rs
+++ b/crates/schedule/tests/engine/harness/fixture.rs
@@ -25,7 +25,7 @@
         path: format!("/{name}/").into(),
         terms: Policy {
             priority,
-            ..terms(pool)
+            ..policy(pool)
         },
         advised,
     };
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the terms of a queue of the pool.
-pub(crate) fn terms(pool: &str) -> Policy {
+/// Returns the policy of a queue of the pool.
+pub(crate) fn policy(pool: &str) -> Policy {
     Policy {
         pool: pool.into(),
         priority: 1,
@@ -61,7 +61,7 @@
     Job {
         id: Id(id),
         queue: "orders".into(),
-        policy: terms("pool"),
+        policy: policy("pool"),
         specification: "text".into(),
         steps: steps.into(),
         repeat: None,
@@ -83,12 +83,12 @@
     }
 }
 
-/// Returns a step of long-running tasks, at most one per runner, of which `may_miss` may be down at once.
-pub(crate) fn long_running(count: u16, may_miss: u16) -> Step {
+/// Returns a step of long-running tasks, at most one per runner, of which `max_unavailable` may be down at once.
+pub(crate) fn long_running(count: u16, max_unavailable: u16) -> Step {
     Step {
         long_running: true,
         max_per_runner: Some(1),
-        max_unavailable: Some(may_miss),
+        max_unavailable: Some(max_unavailable),
         ..step(count)
     }
 }
--- a/crates/schedule/tests/engine/lease.rs
+++ b/crates/schedule/tests/engine/lease.rs
@@ -57,14 +57,14 @@
         };
         Some(std::time::Duration::from_millis(millis))
     };
-    let spread = Step {
+    let one_per_runner = Step {
         max_per_runner: Some(1),
         ..step(2)
     };
     harness.submit(
         1,
         vec![
-            spread,
+            one_per_runner,
             Step {
                 after: vec![0].into(),
                 ..step(1)
