--- a/crates/client/src/failure.rs
+++ b/crates/client/src/failure.rs
@@ -9,7 +9,7 @@
     /// The request was not sent, because it is invalid or there was no connection for it.
     #[error("the request was not sent ({0}): try again later")]
     Unsent(String),
-    /// The connection failed after at least a part of the request was sent.
+    /// The connection failed after the request was sent, wholly or in part.
     #[error(
         "the connection failed after the request was sent ({0}): check the effect of the request"
     )]
