--- a/crates/control/tests/simulation/event.rs
+++ b/crates/control/tests/simulation/event.rs
@@ -489,7 +489,7 @@
         checkpoint: None,
     });
     View {
-        born: Some(worker.born),
+        incarnation: Some(worker.born),
         running: running.collect(),
         ended: ended.collect(),
         truncated: false,
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -275,7 +275,7 @@
     fn listing(&self) -> Vec<Listed> {
         let listed = |runner: &Runner| Listed {
             id: runner.worker.id.as_str().into(),
-            born: runner.worker.born,
+            incarnation: runner.worker.born,
             host: Arc::clone(&runner.host),
             pool: "pool".into(),
             address: ([127, 0, 0, 1], 1).into(),
--- a/crates/schedule/examples/scale.rs
+++ b/crates/schedule/examples/scale.rs
@@ -61,7 +61,7 @@
 fn runner(index: usize) -> Listed {
     Listed {
         id: format!("r{index}").into(),
-        born: 1,
+        incarnation: 1,
         host: format!("h{index}").into(),
         pool: pool(index),
         address: ([127, 0, 0, 1], 1).into(),
--- a/crates/schedule/src/engine/poll.rs
+++ b/crates/schedule/src/engine/poll.rs
@@ -105,8 +105,8 @@
         self.read_clock(key, answer.clock, now);
         match answer.result {
             Ok(view) => {
-                let born = self.runners[key].born;
-                if view.born.is_some_and(|shown| shown != born) {
+                let incarnation = self.runners[key].incarnation;
+                if view.incarnation.is_some_and(|shown| shown != incarnation) {
                     self.end_incarnation(key, "reborn", now);
                     return;
                 }
--- a/crates/schedule/src/engine/restore.rs
+++ b/crates/schedule/src/engine/restore.rs
@@ -146,10 +146,10 @@
         now: Time,
     ) -> Option<runner::Key> {
         if let Some(&key) = self.runner_index.get(&assignment.runner) {
-            return (self.runners[key].born == assignment.incarnation).then_some(key);
+            return (self.runners[key].incarnation == assignment.incarnation).then_some(key);
         }
         let later = |runner: &Runner| {
-            runner.host == assignment.host && runner.born > assignment.incarnation
+            runner.host == assignment.host && runner.incarnation > assignment.incarnation
         };
         if !assignment.host.is_empty() && self.runners.values().any(later) {
             return None;
--- a/crates/schedule/src/engine/runners.rs
+++ b/crates/schedule/src/engine/runners.rs
@@ -34,11 +34,11 @@
         let pool = self.intern_pool(&listed.pool);
         if let Some(&key) = self.runner_index.get(&listed.id) {
             let known = &self.runners[key];
-            if known.born == listed.born && known.pool == pool {
+            if known.incarnation == listed.incarnation && known.pool == pool {
                 self.update_listed(key, listed, now);
                 return;
             }
-            if known.born > listed.born {
+            if known.incarnation > listed.incarnation {
                 return;
             }
             self.end_incarnation(key, "reborn", now);
@@ -80,7 +80,8 @@
         if listed.host.is_empty() {
             return;
         }
-        let earlier = |runner: &Runner| runner.host == listed.host && runner.born < listed.born;
+        let earlier =
+            |runner: &Runner| runner.host == listed.host && runner.incarnation < listed.incarnation;
         let keys = self.runners.iter().filter(|(_, runner)| earlier(runner));
         let keys: Vec<runner::Key> = keys.map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/schedule/src/engine/store.rs
+++ b/crates/schedule/src/engine/store.rs
@@ -161,7 +161,7 @@
             let runner = self.runners.get(run.runner)?;
             Some(Assignment {
                 runner: Arc::clone(&runner.id),
-                incarnation: runner.born,
+                incarnation: runner.incarnation,
                 host: Arc::clone(&runner.host),
                 attempt: run.attempt,
             })
--- a/crates/schedule/src/order/report.rs
+++ b/crates/schedule/src/order/report.rs
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Start of this incarnation of the runner, in Unix milliseconds.
-    pub born: Option<u64>,
+    pub incarnation: Option<u64>,
     /// Runs that are alive.
     pub running: Vec<Running>,
     /// Ends that were not acknowledged yet.
--- a/crates/schedule/src/runner/listed.rs
+++ b/crates/schedule/src/runner/listed.rs
@@ -11,7 +11,7 @@
     /// Unique name.
     pub id: Arc<str>,
     /// Start of this incarnation, in Unix milliseconds.
-    pub born: u64,
+    pub incarnation: u64,
     /// Host on which it runs.
     pub host: Arc<str>,
     /// Pool that the runner belongs to.
--- a/crates/schedule/src/runner/runner.rs
+++ b/crates/schedule/src/runner/runner.rs
@@ -23,7 +23,7 @@
     /// Unique name.
     pub id: Arc<str>,
     /// Start of this incarnation, in Unix milliseconds.
-    pub born: u64,
+    pub incarnation: u64,
     /// Host on which it runs.
     pub host: Arc<str>,
     /// Pool that the runner belongs to.
@@ -89,7 +89,7 @@
         };
         Self {
             id: Arc::clone(&listed.id),
-            born: listed.born,
+            incarnation: listed.incarnation,
             host: Arc::clone(&listed.host),
             pool,
             address: Some(listed.address),
@@ -100,16 +100,28 @@
             listed: true,
             leaves_at: listed.draining.map(|left| now + left),
             clock: listed.clock.map(clock),
-            ..Self::from_log(Arc::clone(&listed.id), listed.born, pool, runs_until, now)
+            ..Self::from_log(
+                Arc::clone(&listed.id),
+                listed.incarnation,
+                pool,
+                runs_until,
+                now,
+            )
         }
     }
 
     /// Creates a runner that is known from the log only.
-    pub fn from_log(id: Arc<str>, born: u64, pool: key::Pool, runs_until: Time, now: Time) -> Self {
+    pub fn from_log(
+        id: Arc<str>,
+        incarnation: u64,
+        pool: key::Pool,
+        runs_until: Time,
+        now: Time,
+    ) -> Self {
         let nothing: Arc<str> = "".into();
         Self {
             id,
-            born,
+            incarnation,
             host: Arc::clone(&nothing),
             pool,
             address: None,
--- a/crates/schedule/tests/engine/harness/execute.rs
+++ b/crates/schedule/tests/engine/harness/execute.rs
@@ -279,7 +279,7 @@
         checkpoint: None,
     });
     View {
-        born: Some(worker.born),
+        incarnation: Some(worker.born),
         running: running.collect(),
         ended: ended.collect(),
         truncated: false,
--- a/crates/schedule/tests/engine/harness/harness.rs
+++ b/crates/schedule/tests/engine/harness/harness.rs
@@ -157,10 +157,10 @@
 
     /// Adds a runner on a new host.
     pub(crate) fn add_runner(&mut self, id: &str, pool: &str, rack: &str) {
-        let born = 1 + self.runners.len() as u64;
+        let incarnation = 1 + self.runners.len() as u64;
         let listed = Listed {
             id: id.into(),
-            born,
+            incarnation,
             host: format!("host-{id}").into(),
             pool: pool.into(),
             address: ([127, 0, 0, 1], 1).into(),
@@ -175,7 +175,7 @@
             draining: None,
             clock: None,
         };
-        let worker = Worker::new(id, born, 64, 1_000, self.now);
+        let worker = Worker::new(id, incarnation, 64, 1_000, self.now);
         self.hosts.add(&listed.host, pool);
         let runner = TestRunner { worker, listed };
         self.engine
@@ -349,7 +349,7 @@
             runner.listed.pool = pool.into();
         }
         self.replacements += 1;
-        runner.listed.born += 100;
+        runner.listed.incarnation += 100;
         runner.listed.id = format!("{id}+").into();
         self.runners.insert(format!("{id}+"), runner);
         self.engine
@@ -368,7 +368,7 @@
             && !standby
         {
             let id = runner.listed.id.to_string();
-            runner.worker = Worker::new(&id, runner.listed.born, 64, 1_000, now);
+            runner.worker = Worker::new(&id, runner.listed.incarnation, 64, 1_000, now);
             self.engine
                 .update_runner(Change::Set(runner.listed.clone()), time);
         }
