--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -132,7 +132,7 @@
         let ordered = match claim.predecessor {
             Predecessor::None => return claim.runs_until,
             Predecessor::Stopped => self.predecessor_observed,
-            Predecessor::MaybeActive => self.predecessor_observed + self.rules.tenure,
+            Predecessor::MaybeActive => self.predecessor_observed + self.rules.leader_lease,
         };
         claim.runs_until.max(self.rules.lease_expiry(ordered))
     }
--- a/crates/control/tests/simulation/entry.rs
+++ b/crates/control/tests/simulation/entry.rs
@@ -98,7 +98,7 @@
         let lead = sassafrascrank_lead::Timing::default();
         let mut rules = Rules::default();
         if !self.scenario.waits_for_leases {
-            rules.tenure = Duration::ZERO;
+            rules.leader_lease = Duration::ZERO;
         }
         self.control = Some(Control::new(identity, lead, rules, RETENTION, now));
         self.next_offset = None;
--- a/crates/schedule/src/config/rules.rs
+++ b/crates/schedule/src/config/rules.rs
@@ -12,7 +12,7 @@
     /// start stays in doubt if the host fails before it answers.
     pub first_lease: Duration,
     /// Time after its last confirmed append during which a leader may renew leases; see `lead::Timing::lease`.
-    pub tenure: Duration,
+    pub leader_lease: Duration,
     /// Largest amount by which a runner's clock runs slow, in thousandths of its rate.
     pub drift_permille: u32,
     /// Safety margin after the end of each lease.
@@ -42,7 +42,7 @@
         Self {
             lease: Duration::from_millis(3_500),
             first_lease: Duration::from_millis(1_500),
-            tenure: Duration::from_millis(2_500),
+            leader_lease: Duration::from_millis(2_500),
             drift_permille: 20,
             margin: Duration::from_millis(300),
             poll_wait: Duration::from_millis(900),
--- a/crates/schedule/tests/engine/harness/harness.rs
+++ b/crates/schedule/tests/engine/harness/harness.rs
@@ -234,7 +234,7 @@
         self.epoch += 1;
         let takeover = Takeover {
             epoch: self.epoch,
-            runs_until: self.rules.lease_expiry(now + self.rules.tenure),
+            runs_until: self.rules.lease_expiry(now + self.rules.leader_lease),
             hosts: self.book.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, takeover, &config(), now);
