--- a/crates/control/src/front/exchange.rs
+++ b/crates/control/src/front/exchange.rs
@@ -212,7 +212,7 @@
         let job = Job {
             id,
             queue: Arc::clone(&queue.name),
-            policy: queue.terms.clone(),
+            policy: queue.policy.clone(),
             specification: specification.into(),
             steps: steps.into(),
             repeat,
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -138,7 +138,7 @@
                 name: "orders".into(),
                 host: "h".into(),
                 path: "/orders/".into(),
-                terms: terms(),
+                policy: policy(),
                 advised: false,
             }],
             pools: vec![config::Pool {
@@ -211,7 +211,7 @@
             job: Arc::new(Job {
                 id: Id(index as u64 + 1),
                 queue: "orders".into(),
-                policy: terms(),
+                policy: policy(),
                 specification: "text".into(),
                 steps: all.into(),
                 repeat: None,
@@ -298,7 +298,7 @@
     }
 }
 
-fn terms() -> Policy {
+fn policy() -> Policy {
     Policy {
         pool: "pool".into(),
         priority: 0,
--- a/crates/schedule/src/config/config.rs
+++ b/crates/schedule/src/config/config.rs
@@ -13,7 +13,7 @@
     /// Path prefix of requests for the queue; the job's identity follows it.
     pub path: Box<str>,
     /// Pool, priority, number of attempts and objective.
-    pub terms: Policy,
+    pub policy: Policy,
     /// Whether the advice service has to approve the runners of the queue's tasks.
     pub advised: bool,
 }
--- a/crates/schedule/src/engine/engine.rs
+++ b/crates/schedule/src/engine/engine.rs
@@ -127,7 +127,7 @@
         engine
     }
 
-    /// Applies a version of the configuration. Queues that it lacks keep their last terms for the jobs that they have.
+    /// Applies a version of the configuration. Queues that it lacks keep their last policy for the jobs that they have.
     pub fn configure(&mut self, config: &Config) {
         for queue in self.queues.values_mut() {
             queue.configured = false;
@@ -139,14 +139,14 @@
             known.standby = pool.standby;
         }
         for queue in &config.queues {
-            let key = self.intern_queue(&queue.name, &queue.terms);
-            let pool = self.intern_pool(&queue.terms.pool);
+            let key = self.intern_queue(&queue.name, &queue.policy);
+            let pool = self.intern_pool(&queue.policy.pool);
             let known = &mut self.queues[key];
             known.pool = pool;
-            known.priority = queue.terms.priority;
-            known.attempts = queue.terms.attempts;
-            known.stretch = queue.terms.stretch;
-            known.target = queue.terms.target;
+            known.priority = queue.policy.priority;
+            known.attempts = queue.policy.attempts;
+            known.stretch = queue.policy.stretch;
+            known.target = queue.policy.target;
             known.advised = queue.advised;
             known.configured = true;
         }
@@ -182,18 +182,18 @@
             .or_insert_with(|| pools.insert(Pool::new(Arc::clone(name))))
     }
 
-    pub(super) fn intern_queue(&mut self, name: &Arc<str>, terms: &Policy) -> key::Queue {
+    pub(super) fn intern_queue(&mut self, name: &Arc<str>, policy: &Policy) -> key::Queue {
         if let Some(&key) = self.queue_index.get(name) {
             return key;
         }
-        let pool = self.intern_pool(&terms.pool);
+        let pool = self.intern_pool(&policy.pool);
         let key = self.queues.insert(Queue {
             name: Arc::clone(name),
             pool,
-            priority: terms.priority,
-            attempts: terms.attempts,
-            stretch: terms.stretch,
-            target: terms.target,
+            priority: policy.priority,
+            attempts: policy.attempts,
+            stretch: policy.stretch,
+            target: policy.target,
             advised: false,
             ratio_percent: 100,
             configured: false,
--- a/crates/schedule/src/queue/queue.rs
+++ b/crates/schedule/src/queue/queue.rs
@@ -4,7 +4,7 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// A queue of jobs, as described by the configuration or by the terms of a job.
+/// A queue of jobs, as described by the configuration or by the policy of a job.
 #[derive(Clone, Debug)]
 pub struct Queue {
     /// Unique name.
--- a/crates/schedule/tests/engine/harness/fixture.rs
+++ b/crates/schedule/tests/engine/harness/fixture.rs
@@ -23,9 +23,9 @@
         name: name.into(),
         host: "h".into(),
         path: format!("/{name}/").into(),
-        terms: Policy {
+        policy: Policy {
             priority,
-            ..terms(pool)
+            ..policy(pool)
         },
         advised,
     };
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the terms of a queue of the pool.
-pub(crate) fn terms(pool: &str) -> Policy {
+/// Returns the policy of a queue of the pool.
+pub(crate) fn policy(pool: &str) -> Policy {
     Policy {
         pool: pool.into(),
         priority: 1,
@@ -61,7 +61,7 @@
     Job {
         id: Id(id),
         queue: "orders".into(),
-        policy: terms("pool"),
+        policy: policy("pool"),
         specification: "text".into(),
         steps: steps.into(),
         repeat: None,
