--- a/crates/schedule/src/engine/balance.rs
+++ b/crates/schedule/src/engine/balance.rs
@@ -354,21 +354,21 @@
     }
 
     /// Restores the demand forecasts of the former leader.
-    pub fn restore_demand(&mut self, turns: &record::Demand, now: Time) {
+    pub fn restore_demand(&mut self, demand: &record::Demand, now: Time) {
         let mut forecasts = Vec::new();
-        for turn in &turns.pools {
-            let next_pool = turn
+        for pool_demand in &demand.pools {
+            let next_pool = pool_demand
                 .next
                 .as_ref()
                 .map(|(pool, after)| (self.intern_pool(pool), *after));
             forecasts.push(PoolForecast {
-                pool: self.intern_pool(&turn.pool),
-                mean_rate: turn.mean,
-                usual_hosts: turn.usual_hosts,
+                pool: self.intern_pool(&pool_demand.pool),
+                mean_rate: pool_demand.mean,
+                usual_hosts: pool_demand.usual_hosts,
                 next_pool,
             });
         }
-        let latest = turns.latest.as_ref();
+        let latest = demand.latest.as_ref();
         let latest = latest.map(|(pool, at)| (self.intern_pool(pool), *at));
         self.fleet.demand.restore(forecasts, latest, now);
     }
--- a/crates/schedule/src/engine/end.rs
+++ b/crates/schedule/src/engine/end.rs
@@ -131,14 +131,14 @@
             return;
         };
         let limit = self.queues[active.queue].attempts;
-        let lasting = active.job.steps[usize::from(task.step)].long_running;
+        let long_running = active.job.steps[usize::from(task.step)].long_running;
         let gang = active.job.steps[usize::from(task.step)].gang;
         let Some(state) = active.task_mut(task.occurrence, task.step, task.index) else {
             return;
         };
         state.failures = state.failures.saturating_add(1);
         state.avoid = Some(runner_key);
-        let failed = !lasting && state.failures >= limit;
+        let failed = !long_running && state.failures >= limit;
         if failed && active.outcome.is_none() {
             self.finish_job(task.job_key, Outcome::Failed, "attempts", now);
         }
--- a/crates/schedule/src/engine/evict.rs
+++ b/crates/schedule/src/engine/evict.rs
@@ -103,10 +103,10 @@
     pub(super) fn can_be_emptied(&self, key: runner::Key, now: Time) -> bool {
         self.runners[key].runs.iter().all(|&run| {
             let run = &self.runs[run];
-            let lasting = self
+            let long_running = self
                 .step_spec(run.task)
                 .is_some_and(|step| step.long_running);
-            !lasting || self.is_within_budget(run, now)
+            !long_running || self.is_within_budget(run, now)
         })
     }
 
--- a/crates/schedule/src/engine/pace.rs
+++ b/crates/schedule/src/engine/pace.rs
@@ -57,10 +57,10 @@
     fn pace_runner(&mut self, key: runner::Key, latency_percent: u64, now: Time) {
         for run in self.runners[key].runs.clone() {
             let known = &self.runs[run];
-            let fills = self
+            let uses_spare_cpu = self
                 .step_spec(known.task)
                 .is_some_and(|step| step.uses_spare_cpu);
-            if !fills
+            if !uses_spare_cpu
                 || known.stage != Stage::Running
                 || now < known.pace_ordered_at + CHANGE_INTERVAL
             {
--- a/crates/schedule/src/engine/poll.rs
+++ b/crates/schedule/src/engine/poll.rs
@@ -78,10 +78,10 @@
         // Short tasks report their progress more often.
         let is_quiet = |run: &run::Key| {
             let run = &self.runs[*run];
-            let lasting = self
+            let long_running = self
                 .step_spec(run.task)
                 .is_some_and(|step| step.long_running);
-            lasting && matches!(run.stage, Stage::Running | Stage::Planned)
+            long_running && matches!(run.stage, Stage::Running | Stage::Planned)
         };
         match runner.runs.iter().all(is_quiet) {
             true => self.rules.poll_wait,
--- a/crates/schedule/tests/engine/harness/harness.rs
+++ b/crates/schedule/tests/engine/harness/harness.rs
@@ -77,7 +77,7 @@
     /// Latest progress of each job in the log.
     pub(crate) stored_progress: BTreeMap<Id, Arc<Progress>>,
     /// State that the log yields.
-    book: Replica,
+    replica: Replica,
     rules: Rules,
     epoch: u64,
     /// Addresses to which connections were closed.
@@ -135,7 +135,7 @@
             task_duration: |_| Some(Duration::from_millis(300)),
             fails: |_, _, _| false,
             stored_progress: BTreeMap::new(),
-            book: Replica::default(),
+            replica: Replica::default(),
             rules,
             epoch: FIRST_EPOCH,
             closed: Vec::new(),
@@ -195,7 +195,7 @@
 
     /// Returns the progress of a wave in the log.
     pub(crate) fn stored_wave(&self, number: u64) -> Option<record::Wave> {
-        self.book.waves().get(&number).cloned()
+        self.replica.waves().get(&number).cloned()
     }
 
     /// Sets the time that a run takes to stop.
@@ -224,7 +224,7 @@
         });
         self.engine.add(Arc::clone(&job), self.time());
         let record = Record::Job(Arc::clone(&job));
-        self.book.apply(0, record, self.time());
+        self.replica.apply(0, record, self.time());
         job
     }
 
@@ -235,13 +235,13 @@
         let takeover = Takeover {
             epoch: self.epoch,
             runs_until: self.rules.lease_expiry(now + self.rules.leader_lease),
-            hosts: self.book.host_orders().clone(),
+            hosts: self.replica.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, takeover, &config(), now);
         for runner in self.runners.values() {
             engine.update_runner(Change::Set(runner.listed.clone()), now);
         }
-        for (_, entry) in self.book.jobs() {
+        for (_, entry) in self.replica.jobs() {
             engine.restore_job(entry, now, now);
         }
         self.engine = engine;
@@ -274,7 +274,7 @@
         self.engine.tick(true, now, now);
         if let Some(records) = self.engine.take_records() {
             for record in records {
-                self.book.apply(0, record.clone(), now);
+                self.replica.apply(0, record.clone(), now);
                 if let Record::Progress(progress) = record {
                     self.stored_progress.insert(progress.id, progress);
                 }
