--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -138,7 +138,7 @@
                 name: "orders".into(),
                 host: "h".into(),
                 path: "/orders/".into(),
-                terms: terms(),
+                policy: policy(),
                 advised: false,
             }],
             pools: vec![config::Pool {
@@ -211,7 +211,7 @@
             job: Arc::new(Job {
                 id: Id(index as u64 + 1),
                 queue: "orders".into(),
-                policy: terms(),
+                policy: policy(),
                 specification: "text".into(),
                 steps: all.into(),
                 repeat: None,
@@ -275,7 +275,7 @@
     fn listing(&self) -> Vec<Listed> {
         let listed = |runner: &Runner| Listed {
             id: runner.worker.id.as_str().into(),
-            born: runner.worker.born,
+            incarnation: runner.worker.born,
             host: Arc::clone(&runner.host),
             pool: "pool".into(),
             address: ([127, 0, 0, 1], 1).into(),
@@ -298,7 +298,7 @@
     }
 }
 
-fn terms() -> Policy {
+fn policy() -> Policy {
     Policy {
         pool: "pool".into(),
         priority: 0,
--- a/crates/schedule/src/engine/engine.rs
+++ b/crates/schedule/src/engine/engine.rs
@@ -139,14 +139,14 @@
             known.standby = pool.standby;
         }
         for queue in &config.queues {
-            let key = self.intern_queue(&queue.name, &queue.terms);
-            let pool = self.intern_pool(&queue.terms.pool);
+            let key = self.intern_queue(&queue.name, &queue.policy);
+            let pool = self.intern_pool(&queue.policy.pool);
             let known = &mut self.queues[key];
             known.pool = pool;
-            known.priority = queue.terms.priority;
-            known.attempts = queue.terms.attempts;
-            known.stretch = queue.terms.stretch;
-            known.target = queue.terms.target;
+            known.priority = queue.policy.priority;
+            known.attempts = queue.policy.attempts;
+            known.stretch = queue.policy.stretch;
+            known.target = queue.policy.target;
             known.advised = queue.advised;
             known.configured = true;
         }
--- a/crates/schedule/tests/engine/harness/fixture.rs
+++ b/crates/schedule/tests/engine/harness/fixture.rs
@@ -23,7 +23,7 @@
         name: name.into(),
         host: "h".into(),
         path: format!("/{name}/").into(),
-        terms: Policy {
+        policy: Policy {
             priority,
             ..policy(pool)
         },
--- a/crates/schedule/tests/engine/harness/harness.rs
+++ b/crates/schedule/tests/engine/harness/harness.rs
@@ -77,7 +77,7 @@
     /// Latest progress of each job in the log.
     pub(crate) stored_progress: BTreeMap<Id, Arc<Progress>>,
     /// State that the log yields.
-    book: Replica,
+    replica: Replica,
     rules: Rules,
     epoch: u64,
     /// Addresses to which connections were closed.
@@ -135,7 +135,7 @@
             task_duration: |_| Some(Duration::from_millis(300)),
             fails: |_, _, _| false,
             stored_progress: BTreeMap::new(),
-            book: Replica::default(),
+            replica: Replica::default(),
             rules,
             epoch: FIRST_EPOCH,
             closed: Vec::new(),
@@ -157,10 +157,10 @@
 
     /// Adds a runner on a new host.
     pub(crate) fn add_runner(&mut self, id: &str, pool: &str, rack: &str) {
-        let born = 1 + self.runners.len() as u64;
+        let incarnation = 1 + self.runners.len() as u64;
         let listed = Listed {
             id: id.into(),
-            born,
+            incarnation,
             host: format!("host-{id}").into(),
             pool: pool.into(),
             address: ([127, 0, 0, 1], 1).into(),
@@ -175,7 +175,7 @@
             draining: None,
             clock: None,
         };
-        let worker = Worker::new(id, born, 64, 1_000, self.now);
+        let worker = Worker::new(id, incarnation, 64, 1_000, self.now);
         self.hosts.add(&listed.host, pool);
         let runner = TestRunner { worker, listed };
         self.engine
@@ -195,7 +195,7 @@
 
     /// Returns the progress of a wave in the log.
     pub(crate) fn stored_wave(&self, number: u64) -> Option<record::Wave> {
-        self.book.waves().get(&number).cloned()
+        self.replica.waves().get(&number).cloned()
     }
 
     /// Sets the time that a run takes to stop.
@@ -224,7 +224,7 @@
         });
         self.engine.add(Arc::clone(&job), self.time());
         let record = Record::Job(Arc::clone(&job));
-        self.book.apply(0, record, self.time());
+        self.replica.apply(0, record, self.time());
         job
     }
 
@@ -234,14 +234,14 @@
         self.epoch += 1;
         let takeover = Takeover {
             epoch: self.epoch,
-            runs_until: self.rules.lease_expiry(now + self.rules.tenure),
-            hosts: self.book.host_orders().clone(),
+            runs_until: self.rules.lease_expiry(now + self.rules.leader_lease),
+            hosts: self.replica.host_orders().clone(),
         };
         let mut engine = Engine::new(self.rules, takeover, &config(), now);
         for runner in self.runners.values() {
             engine.update_runner(Change::Set(runner.listed.clone()), now);
         }
-        for (_, entry) in self.book.jobs() {
+        for (_, entry) in self.replica.jobs() {
             engine.restore_job(entry, now, now);
         }
         self.engine = engine;
@@ -274,7 +274,7 @@
         self.engine.tick(true, now, now);
         if let Some(records) = self.engine.take_records() {
             for record in records {
-                self.book.apply(0, record.clone(), now);
+                self.replica.apply(0, record.clone(), now);
                 if let Record::Progress(progress) = record {
                     self.stored_progress.insert(progress.id, progress);
                 }
@@ -349,7 +349,7 @@
             runner.listed.pool = pool.into();
         }
         self.replacements += 1;
-        runner.listed.born += 100;
+        runner.listed.incarnation += 100;
         runner.listed.id = format!("{id}+").into();
         self.runners.insert(format!("{id}+"), runner);
         self.engine
@@ -368,7 +368,7 @@
             && !standby
         {
             let id = runner.listed.id.to_string();
-            runner.worker = Worker::new(&id, runner.listed.born, 64, 1_000, now);
+            runner.worker = Worker::new(&id, runner.listed.incarnation, 64, 1_000, now);
             self.engine
                 .update_runner(Change::Set(runner.listed.clone()), time);
         }
