--- a/crates/control/src/control/control.rs
+++ b/crates/control/src/control/control.rs
@@ -196,7 +196,7 @@
             } => self.handle_written(epoch, started, result, now),
             store::Event::Skipped { topic, reason } => {
                 let event = Event::new("record-skipped", now)
-                    .with("topic", Value::Word(topic.as_str()))
+                    .with("topic", Value::Code(topic.as_str()))
                     .with("detail", Value::Text(reason.into()));
                 self.out.events.push(event);
             }
@@ -399,7 +399,7 @@
             let age = now.since(self.read_at);
             self.out
                 .events
-                .push(Event::new(name, now).with("age", Value::Span(age)));
+                .push(Event::new(name, now).with("age", Value::Duration(age)));
         }
     }
 
--- a/crates/control/src/control/lead.rs
+++ b/crates/control/src/control/lead.rs
@@ -109,7 +109,7 @@
         let silence = now.since(self.election.observed_at());
         let event = Event::new("claim", now)
             .with("epoch", Value::Count(epoch))
-            .with("silence", Value::Span(silence));
+            .with("silence", Value::Duration(silence));
         self.out.events.push(event);
     }
 
@@ -250,8 +250,8 @@
             self.lose_role("log-fenced", now);
             return;
         }
-        let event = Event::new("append", now).with("took", Value::Span(now.since(started)));
-        self.out.events.push(event.quiet());
+        let event = Event::new("append", now).with("took", Value::Duration(now.since(started)));
+        self.out.events.push(event.metrics_only());
         if let Some(claim) = &mut self.claim
             && !claim.stored
         {
@@ -268,7 +268,7 @@
 
     /// Gives up the lead or the claim.
     pub(super) fn lose_role(&mut self, reason: &'static str, now: Time) {
-        let event = Event::new("role-lost", now).with("reason", Value::Word(reason));
+        let event = Event::new("role-lost", now).with("reason", Value::Code(reason));
         self.out.events.push(event);
         self.flush_notes(now);
         self.election.step_down(now);
--- a/crates/control/src/control/output.rs
+++ b/crates/control/src/control/output.rs
@@ -39,11 +39,11 @@
 
 fn event(group: Group) -> Event {
     let mut event = Event::new(group.kind.as_str(), group.at)
-        .with("reason", Value::Word(group.reason))
-        .with("age", Value::Span(group.age))
-        .times(group.count());
+        .with("reason", Value::Code(group.reason))
+        .with("age", Value::Duration(group.age))
+        .with_count(group.count());
     if let Some(job) = group.job {
-        event = event.with("job", Value::Id(job.0)).routine();
+        event = event.with("job", Value::Id(job.0)).low_priority();
     }
     if !group.subjects.is_empty() {
         let tasks: Vec<String> = group.subjects.iter().map(subject).collect();
@@ -54,7 +54,7 @@
     }
     // A placement is followed by a start, which has a line of its own with the time since the placement.
     match group.kind {
-        Kind::Placed => event.quiet(),
+        Kind::Placed => event.metrics_only(),
         _ => event,
     }
 }
--- a/crates/control/src/front/exchange.rs
+++ b/crates/control/src/front/exchange.rs
@@ -264,16 +264,16 @@
         };
         let now = self.clock.now();
         let mut event = Event::new("request", now)
-            .with("result", Value::Word(word))
-            .with("verb", Value::Word(verb))
-            .with("took", Value::Span(now.since(started)))
-            .routine();
+            .with("result", Value::Code(word))
+            .with("verb", Value::Code(verb))
+            .with("took", Value::Duration(now.since(started)))
+            .low_priority();
         if let Some(id) = id {
             event = event.with("job", Value::Id(id.0));
         }
         // Reads change nothing, so they appear in metrics only.
         if matches!(reply, Reply::State(_) | Reply::Pending(_)) {
-            event = event.quiet();
+            event = event.metrics_only();
         }
         self.sink.borrow_mut().record(event);
     }
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub enum Value {
     /// A fixed word.
-    Word(&'static str),
+    Code(&'static str),
     /// A name or a message.
     Text(Arc<str>),
     /// An identity, written as 16 hexadecimal digits.
@@ -19,7 +19,7 @@
     /// A number.
     Count(u64),
     /// A duration, written in milliseconds.
-    Span(Duration),
+    Duration(Duration),
 }
 
 /// One thing that happened, with the inputs that decided it.
@@ -30,9 +30,9 @@
     /// What happened.
     pub name: &'static str,
     /// It is only counted.
-    pub quiet: bool,
+    pub metrics_only: bool,
     /// Its line is among the first to be left out under load.
-    pub routine: bool,
+    pub low_priority: bool,
     /// How often it has happened.
     pub count: u64,
     fields: [Option<(&'static str, Value)>; FIELD_LIMIT],
@@ -44,8 +44,8 @@
         Self {
             at,
             name,
-            quiet: false,
-            routine: false,
+            metrics_only: false,
+            low_priority: false,
             count: 1,
             fields: Default::default(),
         }
@@ -60,47 +60,47 @@
     }
 
     /// Makes it an event that is only counted.
-    pub fn quiet(mut self) -> Self {
-        self.quiet = true;
+    pub fn metrics_only(mut self) -> Self {
+        self.metrics_only = true;
         self
     }
 
     /// Makes it an event whose line is among the first to be left out under load.
-    pub fn routine(mut self) -> Self {
-        self.routine = true;
+    pub fn low_priority(mut self) -> Self {
+        self.low_priority = true;
         self
     }
 
     /// Sets how often it has happened.
-    pub fn times(mut self, count: u64) -> Self {
+    pub fn with_count(mut self, count: u64) -> Self {
         self.count = count;
         self
     }
 
     /// Returns the first duration among the fields.
-    pub fn span(&self) -> Option<Duration> {
+    pub fn duration(&self) -> Option<Duration> {
         self.fields
             .iter()
             .flatten()
             .find_map(|(_, value)| match value {
-                Value::Span(span) => Some(*span),
+                Value::Duration(duration) => Some(*duration),
                 _ => None,
             })
     }
 
     /// Returns the first fixed word among the fields.
-    pub fn word(&self) -> Option<&'static str> {
+    pub fn code(&self) -> Option<&'static str> {
         self.fields
             .iter()
             .flatten()
             .find_map(|(_, value)| match value {
-                Value::Word(word) => Some(*word),
+                Value::Code(code) => Some(*code),
                 _ => None,
             })
     }
 
     /// Returns the event as a line of JSON, with the name of its process.
-    pub fn line(&self, process: &str) -> String {
+    pub fn to_json(&self, process: &str) -> String {
         let mut line = String::with_capacity(160);
         // Writing into a string does not fail.
         let _ = write!(
@@ -113,11 +113,13 @@
         for (key, value) in self.fields.iter().flatten() {
             let _ = write!(line, ",\"{key}\":");
             let _ = match value {
-                Value::Word(word) => write!(line, "\"{word}\""),
+                Value::Code(code) => write!(line, "\"{code}\""),
                 Value::Text(text) => write!(line, "{}", quote(text)),
                 Value::Id(id) => write!(line, "\"{id:016x}\""),
                 Value::Count(count) => write!(line, "{count}"),
-                Value::Span(span) => write!(line, "{:.1}", span.as_secs_f64() * 1_000.0),
+                Value::Duration(duration) => {
+                    write!(line, "{:.1}", duration.as_secs_f64() * 1_000.0)
+                }
             };
         }
         line.push('}');
--- a/crates/trace/src/metrics.rs
+++ b/crates/trace/src/metrics.rs
@@ -81,10 +81,10 @@
     /// Counts an event. Names and reasons are fixed words, which bounds the number of series.
     pub fn count(&self, event: &Event) {
         let name = KeyValue::new("event", event.name);
-        let reason = KeyValue::new("reason", event.word().unwrap_or("none"));
+        let reason = KeyValue::new("reason", event.code().unwrap_or("none"));
         self.events.add(event.count, &[name.clone(), reason]);
-        if let Some(span) = event.span() {
-            self.durations.record(span.as_secs_f64(), &[name]);
+        if let Some(duration) = event.duration() {
+            self.durations.record(duration.as_secs_f64(), &[name]);
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Counts a line that was left out.
-    pub fn suppress(&self) {
+    pub fn count_suppressed(&self) {
         self.suppressed.add(1, &[]);
     }
 
--- a/crates/trace/src/thread.rs
+++ b/crates/trace/src/thread.rs
@@ -123,7 +123,7 @@
     fn drain(&mut self, source: &mut Source, now: Time) {
         while let Some(event) = source.receiver.try_recv() {
             self.metrics.count(&event);
-            if !event.quiet {
+            if !event.metrics_only {
                 self.write(&event, now);
             }
         }
@@ -134,15 +134,15 @@
             *known = total;
             self.metrics.count_dropped(source.thread, new);
             let event = Event::new("events-dropped", now)
-                .with("thread", Value::Word(source.thread))
+                .with("thread", Value::Code(source.thread))
                 .with("count", Value::Count(new));
             self.write(&event, now);
         }
     }
 
     fn write(&mut self, event: &Event, now: Time) {
-        let Some(suppressed) = self.limiter.admit(event.routine, now) else {
-            self.metrics.suppress();
+        let Some(suppressed) = self.limiter.admit(event.low_priority, now) else {
+            self.metrics.count_suppressed();
             return;
         };
         if suppressed > 0 {
@@ -153,7 +153,7 @@
     }
 
     fn log(&self, event: &Event) {
-        let line = event.line(&self.process);
+        let line = event.to_json(&self.process);
         spdlog::log!(logger: self.logger, Level::Info, "{line}");
     }
 }
--- a/crates/trace/tests/lines.rs
+++ b/crates/trace/tests/lines.rs
@@ -13,12 +13,12 @@
 #[test]
 fn event_is_one_json_object() {
     let event = Event::new("run-lost", START)
-        .with("reason", Value::Word("lease-ended"))
-        .with("age", Value::Span(Duration::from_micros(1_250)))
+        .with("reason", Value::Code("lease-ended"))
+        .with("age", Value::Duration(Duration::from_micros(1_250)))
         .with("job", Value::Id(0xab))
         .with("tasks", Value::Text("0.1.2#1@\"quoted\"".into()))
         .with("count", Value::Count(3));
-    let line = event.line("entry-1");
+    let line = event.to_json("entry-1");
     let parsed: serde_json::Value = serde_json::from_str(&line).expect("a line is valid JSON");
     insta::assert_snapshot!(line);
     assert_eq!(parsed["tasks"], "0.1.2#1@\"quoted\"");
