--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -1,45 +1,45 @@
-//! One thing that happened, with the inputs that decided it.
+//! Events to log and count.
 
 use core::fmt::Write;
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// Fields of one event.
+/// Largest number of fields of an event.
 const FIELD_LIMIT: usize = 7;
 
-/// Value of a field.
+/// Value of an event field.
 #[derive(Clone, Debug)]
 pub enum Value {
-    /// A fixed word.
+    /// A machine-readable code from a fixed set, such as a reason.
     Code(&'static str),
-    /// A name or a message.
+    /// Free text, such as a name or a message.
     Text(Arc<str>),
-    /// An identity, written as 16 hexadecimal digits.
+    /// A 64-bit identifier, written as 16 hexadecimal digits.
     Id(u64),
-    /// A number.
+    /// An integer, such as a count or a version.
     Count(u64),
-    /// A duration, written in milliseconds.
+    /// A duration, written in milliseconds with one decimal.
     Duration(Duration),
 }
 
-/// One thing that happened, with the inputs that decided it.
+/// A decision or state change of the process, with the inputs that led to it.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// When.
+    /// When it happened.
     pub at: Time,
-    /// What happened.
+    /// Name of the event, written to the log line and used as a metric label.
     pub name: &'static str,
-    /// It is only counted.
+    /// Whether the event appears in metrics only and gets no log line.
     pub metrics_only: bool,
-    /// Its line is among the first to be left out under load.
+    /// Whether its log line is among the first to be suppressed under load.
     pub low_priority: bool,
-    /// How often it has happened.
+    /// Number of occurrences that this event stands for.
     pub count: u64,
     fields: [Option<(&'static str, Value)>; FIELD_LIMIT],
 }
 
 impl Event {
-    /// Makes an event without fields.
+    /// Creates an event with one occurrence and no fields.
     pub fn new(name: &'static str, at: Time) -> Self {
         Self {
             at,
@@ -51,27 +51,27 @@
         }
     }
 
-    /// Adds a field; one more than fits is left out.
+    /// Adds a field. Ignores it if the event already has `FIELD_LIMIT` fields.
     pub fn with(mut self, key: &'static str, value: Value) -> Self {
-        if let Some(free) = self.fields.iter_mut().find(|field| field.is_none()) {
-            *free = Some((key, value));
+        if let Some(empty) = self.fields.iter_mut().find(|field| field.is_none()) {
+            *empty = Some((key, value));
         }
         self
     }
 
-    /// Makes it an event that is only counted.
+    /// Excludes the event from the log, so that it appears in metrics only.
     pub fn metrics_only(mut self) -> Self {
         self.metrics_only = true;
         self
     }
 
-    /// Makes it an event whose line is among the first to be left out under load.
+    /// Marks the log line as one of the first to be suppressed under load.
     pub fn low_priority(mut self) -> Self {
         self.low_priority = true;
         self
     }
 
-    /// Sets how often it has happened.
+    /// Sets the number of occurrences that this event stands for.
     pub fn with_count(mut self, count: u64) -> Self {
         self.count = count;
         self
@@ -88,7 +88,7 @@
             })
     }
 
-    /// Returns the first fixed word among the fields.
+    /// Returns the first code among the fields.
     pub fn code(&self) -> Option<&'static str> {
         self.fields
             .iter()
@@ -99,7 +99,7 @@
             })
     }
 
-    /// Returns the event as a line of JSON, with the name of its process.
+    /// Formats the event as one JSON object on one line, with the name of its process.
     pub fn to_json(&self, process: &str) -> String {
         let mut line = String::with_capacity(160);
         // Writing into a string does not fail.
@@ -107,14 +107,14 @@
             line,
             "{{\"ms\":{},\"process\":{},\"event\":\"{}\"",
             self.at.as_millis(),
-            quote(process),
+            json_string(process),
             self.name
         );
         for (key, value) in self.fields.iter().flatten() {
             let _ = write!(line, ",\"{key}\":");
             let _ = match value {
                 Value::Code(code) => write!(line, "\"{code}\""),
-                Value::Text(text) => write!(line, "{}", quote(text)),
+                Value::Text(text) => write!(line, "{}", json_string(text)),
                 Value::Id(id) => write!(line, "\"{id:016x}\""),
                 Value::Count(count) => write!(line, "{count}"),
                 Value::Duration(duration) => {
@@ -127,6 +127,7 @@
     }
 }
 
-fn quote(text: &str) -> String {
+/// Returns the text as a quoted and escaped JSON string.
+fn json_string(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,10 +1,10 @@
-//! Structured log lines and metrics of the decisions of a process.
+//! Structured log lines and metrics for the decisions of a process.
 //!
-//! Threads record [`Event`]s in bounded rings and never wait. One thread writes a line for each and serves counters
-//! and histograms.
+//! Threads record [`Event`]s in bounded rings without blocking. One thread writes a log line for each event and serves
+//! counters and histograms over HTTP in the Prometheus text format.
 
 mod event;
-mod line;
+mod limiter;
 mod metrics;
 mod sink;
 mod thread;
@@ -13,7 +13,7 @@
     Event,
     Value, //
 };
-pub use line::Limiter;
+pub use limiter::Limiter;
 pub use metrics::{
     Error,
     Metrics, //
--- a/crates/trace/src/metrics.rs
+++ b/crates/trace/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms.
+//! Counters and histograms of events.
 
 use crate::Event;
 use opentelemetry::{
@@ -12,8 +12,9 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::TextEncoder;
 
-/// Upper bounds of the buckets in seconds: from one call on the local network to the longest outage of a log.
-const BOUNDARIES: [f64; 12] = [
+/// Upper bounds of the histogram buckets in seconds: from one call on the local network to the longest outage of the
+/// platform log.
+const BUCKET_BOUNDS_SECONDS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
 
@@ -29,7 +30,7 @@
     Encode(#[from] prometheus::Error),
 }
 
-/// Counters and histograms by the name of the event.
+/// Counters and histograms, labelled with the event name.
 #[derive(Debug)]
 pub struct Metrics {
     registry: prometheus::Registry,
@@ -42,7 +43,7 @@
 }
 
 impl Metrics {
-    /// Registers all instruments.
+    /// Creates and registers all instruments.
     ///
     /// # Errors
     ///
@@ -66,7 +67,7 @@
             .f64_histogram("event.duration")
             .with_unit("s")
             .with_description("Time that an event took, or age of the input that decided it")
-            .with_boundaries(BOUNDARIES.to_vec())
+            .with_boundaries(BUCKET_BOUNDS_SECONDS.to_vec())
             .build();
         Ok(Self {
             events: counter("events", "Events by name and reason"),
@@ -78,7 +79,8 @@
         })
     }
 
-    /// Counts an event. Names and reasons are fixed words, which bounds the number of series.
+    /// Counts an event and records its duration if it has one. Event names and reasons come from fixed sets, which bounds
+    /// the number of time series.
     pub fn count(&self, event: &Event) {
         let name = KeyValue::new("event", event.name);
         let reason = KeyValue::new("reason", event.code().unwrap_or("none"));
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Counts events that a thread has dropped.
+    /// Counts events that a thread dropped because its ring was full.
     pub fn count_dropped(&self, thread: &'static str, count: u64) {
         self.dropped.add(count, &[KeyValue::new("thread", thread)]);
     }
 
-    /// Counts a line that was left out.
+    /// Counts a log line that the rate limit suppressed.
     pub fn count_suppressed(&self) {
         self.suppressed.add(1, &[]);
     }
--- a/crates/trace/src/sink.rs
+++ b/crates/trace/src/sink.rs
@@ -1,4 +1,4 @@
-//! Recording of events by one thread.
+//! Ring that carries the events of one thread to the thread that writes log lines and metrics.
 
 use crate::Event;
 use sassafrascrank_ring::{
@@ -15,14 +15,14 @@
     },
 };
 
-/// Recording end of one thread.
+/// Recording end of a thread's event ring.
 #[derive(Debug)]
 pub struct Sink {
     sender: Sender<Event>,
     dropped: Arc<AtomicU64>,
 }
 
-/// Reading end of one thread's events.
+/// Reading end of a thread's event ring.
 #[derive(Debug)]
 pub struct Source {
     pub(crate) thread: &'static str,
@@ -30,7 +30,7 @@
     pub(crate) dropped: Arc<AtomicU64>,
 }
 
-/// Makes a ring of `capacity` events for the thread of this name.
+/// Creates the event ring of the named thread, with room for `capacity` events.
 pub fn sink(thread: &'static str, capacity: usize, signal: &Signal) -> (Sink, Source) {
     let (sender, receiver) = ring(capacity, signal);
     let dropped = Arc::new(AtomicU64::new(0));
--- a/crates/trace/src/thread.rs
+++ b/crates/trace/src/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes lines and serves metrics.
+//! The thread that writes log lines and serves metrics.
 
 use crate::{
     Event,
@@ -42,32 +42,33 @@
     time::sleep, //
 };
 
-/// Time between two batches, so that producers don't pay for a wake-up at each event.
+/// Pause between two batches, so that recording threads don't wake this thread at each event. Also the delay before
+/// another try after a failed accept.
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
-/// Log lines a second. At 200 bytes each, a day of it fills about 10 GB.
-const LINE_RATE: f64 = 600.0;
-/// Time for the head of a request for metrics.
+/// Rate limit for log lines. At 200 bytes a line, a day at this rate fills about 10 GB.
+const LINES_PER_SECOND: f64 = 600.0;
+/// Time limit for reading the head of a metrics request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the thread needs.
+/// Inputs of [`run`].
 pub struct Setup<C> {
-    /// Name of the process in each line.
+    /// Name of the process, written in each log line.
     pub process: Arc<str>,
-    /// Rings of events, one for each recording thread.
+    /// Reading ends of the event rings, one for each recording thread.
     pub sources: Vec<Source>,
-    /// Signal of all these rings.
+    /// Signal that all these rings raise when they receive an event.
     pub signal: Signal,
-    /// Tells the present time.
+    /// Returns the current time.
     pub clock: C,
-    /// Where lines go.
+    /// Destination of the log lines.
     pub logger: Arc<Logger>,
-    /// Listener of the metrics endpoint, if there is one.
+    /// Listener of the metrics endpoint; `None` if metrics aren't served.
     pub listener: Option<std::net::TcpListener>,
-    /// Set when the process ends; what is recorded before is still written.
+    /// Set when the process stops. Events recorded before are still written.
     pub stop: Arc<AtomicBool>,
 }
 
-/// Runs until the process ends. It needs a local task set.
+/// Writes log lines and serves metrics until `stop` is set. Must run in a Tokio `LocalSet`.
 ///
 /// # Errors
 ///
@@ -82,7 +83,7 @@
     }
     let mut writer = Writer {
         process: setup.process,
-        limiter: Limiter::new(LINE_RATE, (setup.clock)()),
+        limiter: Limiter::new(LINES_PER_SECOND, (setup.clock)()),
         logger: setup.logger,
         metrics,
         dropped: HashMap::new(),
@@ -115,7 +116,7 @@
     limiter: Limiter,
     logger: Arc<Logger>,
     metrics: Rc<Metrics>,
-    /// Dropped events by thread, as counted so far.
+    /// Dropped events by thread, as counted in the metrics so far.
     dropped: HashMap<&'static str, u64>,
 }
 
@@ -128,10 +129,10 @@
             }
         }
         let total = source.dropped.load(Ordering::Relaxed);
-        let known = self.dropped.entry(source.thread).or_default();
-        let new = total - *known;
+        let counted = self.dropped.entry(source.thread).or_default();
+        let new = total - *counted;
         if new > 0 {
-            *known = total;
+            *counted = total;
             self.metrics.count_dropped(source.thread, new);
             let event = Event::new("events-dropped", now)
                 .with("thread", Value::Code(source.thread))
@@ -158,7 +159,7 @@
     }
 }
 
-/// Serves the metrics on every path.
+/// Serves the metrics on every path of the listener.
 async fn serve(listener: TcpListener, metrics: Rc<Metrics>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -168,10 +169,10 @@
         let metrics = Rc::clone(&metrics);
         spawn_local(async move {
             let service = service_fn(move |_| {
-                let answer = answer(&metrics);
-                async move { Ok::<_, std::convert::Infallible>(answer) }
+                let response = respond(&metrics);
+                async move { Ok::<_, std::convert::Infallible>(response) }
             });
-            // An error here concerns only the connection of one reader of metrics.
+            // An error here affects only the connection of one metrics client.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIMEOUT)
@@ -181,7 +182,7 @@
     }
 }
 
-fn answer(metrics: &Metrics) -> Response<Full<Bytes>> {
+fn respond(metrics: &Metrics) -> Response<Full<Bytes>> {
     match metrics.scrape() {
         Ok(text) => Response::new(Full::new(Bytes::from(text))),
         Err(error) => {
--- a/crates/trace/tests/lines.rs
+++ b/crates/trace/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines and their bound.
+//! Format and rate limit of log lines.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_trace::{
@@ -9,7 +9,7 @@
 
 const START: Time = Time::from_millis(1_000_000);
 
-/// Guards against a line that is not one JSON object, or lacks a field of the event.
+/// Guards against a log line that is not one JSON object or lacks a field of the event.
 #[test]
 fn event_is_one_json_object() {
     let event = Event::new("run-lost", START)
@@ -24,12 +24,13 @@
     assert_eq!(parsed["tasks"], "0.1.2#1@\"quoted\"");
 }
 
-/// Guards against lines of single tasks that crowd out those on leaders and runners, and against lines without bound.
+/// Guards against low-priority lines, such as those of single tasks, that suppress lines about leaders and runners, and
+/// against a log rate without a limit.
 #[test]
-fn lines_of_routine_leave_a_reserve() {
+fn low_priority_lines_leave_a_reserve() {
     let mut limiter = Limiter::new(600.0, START);
     let mut written = [0, 0];
-    // Ten seconds with 2,000 lines of routine and 20 others each second.
+    // Ten seconds with 2,000 low-priority lines and 20 others each second.
     for step in 0..1_000 {
         let now = START + Duration::from_millis(10 * step);
         for _ in 0..20 {
