--- a/crates/observe/benches/event.rs
+++ b/crates/observe/benches/event.rs
@@ -43,7 +43,7 @@
     let mut pools = SlotMap::<pool::Key, ()>::with_key();
     let (customer, pool) = (customers.insert(()), pools.insert(()));
     let mut names = Names::default();
-    names.learn(Table {
+    names.add(Table {
         customers: vec![(customer, name("alba"))],
         pools: vec![(pool, name("quoting"))],
         ..Table::default()
--- a/crates/observe/src/metrics/bound.rs
+++ b/crates/observe/src/metrics/bound.rs
@@ -9,7 +9,7 @@
 pub const POOL_LIMIT: usize = 256;
 /// Sets of customer, pool, outcome and reason that are counted on their own. In the others, customer and pool are
 /// `other`. One set takes about 200 bytes in a scrape, so that a scrape stays near 1 MB.
-pub const SET_LIMIT: usize = 5_000;
+pub const LABEL_SET_LIMIT: usize = 5_000;
 
 /// Admits the first `limit` distinct keys.
 #[derive(Debug)]
--- a/crates/observe/src/metrics/mod.rs
+++ b/crates/observe/src/metrics/mod.rs
@@ -7,8 +7,8 @@
 pub use bound::{
     Bound,
     CUSTOMER_LIMIT,
+    LABEL_SET_LIMIT, //
     POOL_LIMIT,
-    SET_LIMIT, //
 };
 pub use registry::{
     Error,
--- a/crates/observe/src/metrics/registry.rs
+++ b/crates/observe/src/metrics/registry.rs
@@ -3,8 +3,8 @@
 use super::{
     Bound,
     CUSTOMER_LIMIT,
+    LABEL_SET_LIMIT,
     POOL_LIMIT,
-    SET_LIMIT,
     gauge, //
 };
 use crate::{
@@ -37,7 +37,7 @@
     0.001, 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0, 10.0, 30.0, 120.0, 600.0,
 ];
 /// Label sets of one instrument in the SDK; above what the own bounds let pass, so that these decide.
-const SDK_SET_LIMIT: usize = 2 * SET_LIMIT;
+const SDK_LABEL_SET_LIMIT: usize = 2 * LABEL_SET_LIMIT;
 /// Label value of what has no name or of what lies above a bound.
 const OTHER: &str = "other";
 /// Label value of what does not apply.
@@ -91,7 +91,7 @@
             .build()?;
         let bounded = |_: &Instrument| {
             Stream::builder()
-                .with_cardinality_limit(SDK_SET_LIMIT)
+                .with_cardinality_limit(SDK_LABEL_SET_LIMIT)
                 .build()
                 .ok()
         };
@@ -123,7 +123,7 @@
             services: histogram("service.time", "Time that the upstream took to answer"),
             customers: Bound::new(CUSTOMER_LIMIT),
             pools: Bound::new(POOL_LIMIT),
-            sets: Bound::new(SET_LIMIT),
+            sets: Bound::new(LABEL_SET_LIMIT),
             gauges,
             registry,
             _provider: provider,
--- a/crates/observe/src/names/table.rs
+++ b/crates/observe/src/names/table.rs
@@ -29,7 +29,7 @@
 
 impl Names {
     /// Adds the names of `table`.
-    pub fn learn(&mut self, table: Table) {
+    pub fn add(&mut self, table: Table) {
         self.customers.extend(table.customers);
         self.pools.extend(table.pools);
         self.upstreams.extend(table.upstreams);
--- a/crates/observe/src/observer/observer.rs
+++ b/crates/observe/src/observer/observer.rs
@@ -78,7 +78,7 @@
 
     async fn handle(&mut self, batch: Batch, _: &mut Context<Self>) {
         for table in batch.tables {
-            self.names.learn(table);
+            self.names.add(table);
         }
         for event in &batch.events {
             self.absorb(event);
--- a/crates/observe/src/thread/drain.rs
+++ b/crates/observe/src/thread/collector.rs
@@ -19,7 +19,7 @@
 
 /// All rings of the observe thread.
 #[derive(Debug)]
-pub struct Drain {
+pub struct Collector {
     sources: Vec<Source>,
     /// Oldest event of each source, taken from its ring but not drained yet.
     heads: Vec<Option<Event>>,
@@ -27,8 +27,8 @@
     updates: Vec<Receiver<Update>>,
 }
 
-impl Drain {
-    /// Makes the drain of these rings.
+impl Collector {
+    /// Creates the collector of these rings.
     pub fn new(
         sources: Vec<Source>,
         tables: Vec<Receiver<Table>>,
--- a/crates/observe/src/thread/mod.rs
+++ b/crates/observe/src/thread/mod.rs
@@ -1,10 +1,10 @@
 //! The observe thread.
 
-mod drain;
+mod collector;
 mod handle;
 mod start;
 
-pub use drain::Drain;
+pub use collector::Collector;
 pub use handle::Handle;
 pub use start::{
     Error,
--- a/crates/observe/src/thread/start.rs
+++ b/crates/observe/src/thread/start.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Handle,
-    drain::Drain,
+    collector::Collector,
     handle::Stop, //
 };
 use crate::{
@@ -119,7 +119,7 @@
     let work = Work {
         observer: Observer::new(timeline, metrics, status, setup.logger),
         listener,
-        drain: Drain::new(setup.sources, setup.tables, setup.updates),
+        collector: Collector::new(setup.sources, setup.tables, setup.updates),
         signal: setup.signal.clone(),
         clock: setup.clock,
         stop: Stop::default(),
@@ -142,7 +142,7 @@
 struct Work<C> {
     observer: Observer,
     listener: tokio::net::TcpListener,
-    drain: Drain,
+    collector: Collector,
     signal: Signal,
     clock: C,
     stop: Stop,
@@ -159,7 +159,14 @@
         let (stopping, stopped) = watch::channel(false);
         let server = admin::serve(self.listener, address.clone(), self.clock.clone(), stopped);
         let server = tokio::spawn(server);
-        drain(self.drain, &self.signal, &self.clock, &self.stop, &address).await;
+        pass_batches(
+            self.collector,
+            &self.signal,
+            &self.clock,
+            &self.stop,
+            &address,
+        )
+        .await;
         stopping.send_replace(true);
         drop(address);
         propagate(server.await);
@@ -177,8 +184,8 @@
 }
 
 /// Passes batches to the observer until the thread has to stop and nothing waits, or the observer has panicked.
-async fn drain<C: Fn() -> Time>(
-    mut drain: Drain,
+async fn pass_batches<C: Fn() -> Time>(
+    mut collector: Collector,
     signal: &Signal,
     clock: &C,
     stop: &Stop,
@@ -186,12 +193,12 @@
 ) {
     let mut last_batches = LAST_BATCH_LIMIT;
     loop {
-        signal.wait(|| stop.is_set() || !drain.is_empty()).await;
+        signal.wait(|| stop.is_set() || !collector.is_empty()).await;
         let stopping = stop.is_set();
-        if observer.send(drain.batch(clock())).await.is_err() {
+        if observer.send(collector.batch(clock())).await.is_err() {
             return;
         }
-        if stopping && (drain.is_empty() || last_batches == 0) {
+        if stopping && (collector.is_empty() || last_batches == 0) {
             return;
         }
         last_batches -= usize::from(stopping);
--- a/crates/observe/tests/drain.rs
+++ b/crates/observe/tests/collector.rs
@@ -8,15 +8,15 @@
         Kind,
         Sink, //
     },
-    thread::Drain, //
+    thread::Collector, //
 };
 use sassafrascrank_ring::Signal;
 
-/// A drain of two threads, at a present time that the test sets.
+/// A collector of two event rings, with a clock that the test sets.
 struct Rig {
     exchange: Sink,
     dispatch: Sink,
-    drain: Drain,
+    collector: Collector,
     seen: String,
 }
 
@@ -28,19 +28,19 @@
         Self {
             exchange,
             dispatch,
-            drain: Drain::new(vec![first, second], Vec::new(), Vec::new()),
+            collector: Collector::new(vec![first, second], Vec::new(), Vec::new()),
             seen: String::new(),
         }
     }
 
     /// Notes what is drained at `now`.
     fn batch(&mut self, now: u64) {
-        let batch = self.drain.batch(Time::from_millis(now));
+        let batch = self.collector.batch(Time::from_millis(now));
         let events = batch
             .events
             .iter()
             .map(|event| format!(" {}@{}", event.kind, event.time.as_millis()));
-        let empty = if self.drain.is_empty() {
+        let empty = if self.collector.is_empty() {
             "empty"
         } else {
             "more"
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -37,7 +37,7 @@
     let [quoting, roofing] = [pools.insert(()), pools.insert(())];
     let runner = upstreams.insert(());
     let mut names = Names::default();
-    names.learn(Table {
+    names.add(Table {
         customers: vec![(alba, name("alba")), (brisa, name("brisa"))],
         pools: vec![(quoting, name("quoting")), (roofing, name("roofing"))],
         upstreams: vec![(runner, name("runner-1"))],
