--- a/crates/observe/src/admin/problem.rs
+++ b/crates/observe/src/admin/problem.rs
@@ -11,10 +11,10 @@
 };
 use serde::Serialize;
 
-/// Paths that the endpoint answers.
+/// Paths that the endpoint serves, listed in the answer to an unknown path.
 const PATHS: &[&str] = &["/healthz", "/metrics", "/status", "/timeline"];
 
-/// A request that can't be answered.
+/// Error response to a request that can't be answered.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Problem {
@@ -37,11 +37,11 @@
         }
     }
 
-    /// No such path.
+    /// Creates the response to an unknown path, with a list of the known ones.
     pub(super) fn unknown_path(path: &str) -> Self {
-        /// Longest part of a path that the answer repeats, in characters.
-        const SHOWN_LIMIT: usize = 100;
-        let shown: String = path.chars().take(SHOWN_LIMIT).collect();
+        /// Longest part of the path that the response repeats, in characters.
+        const SHOWN_CHARS_MAX: usize = 100;
+        let shown: String = path.chars().take(SHOWN_CHARS_MAX).collect();
         let detail = format!("there is no path {shown:?}");
         let mut problem = Self::new(
             StatusCode::NOT_FOUND,
@@ -52,23 +52,23 @@
         problem
     }
 
-    /// A method that does not read.
-    pub(super) fn method() -> Self {
+    /// Creates the response to a method other than GET and HEAD.
+    pub(super) fn method_not_allowed() -> Self {
         let detail = "the endpoint only reads";
         Self::new(StatusCode::METHOD_NOT_ALLOWED, detail, "use GET")
     }
 
-    /// A parameter that is unknown or malformed.
-    pub(super) fn parameter(error: &super::query::Error) -> Self {
+    /// Creates the response to a query parameter that is unknown or malformed.
+    pub(super) fn invalid_parameter(error: &super::query::Error) -> Self {
         Self::new(StatusCode::BAD_REQUEST, error.to_string(), error.remedy())
     }
 
-    /// The observer does not answer, or not in time.
+    /// Creates the response for an observer that doesn't answer in time, has stopped or can't encode the answer.
     pub(super) fn unavailable(detail: impl Into<String>) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, detail, "try again later")
     }
 
-    /// Encodes the problem.
+    /// Encodes the problem as an HTTP response.
     pub(super) fn response(&self) -> Response<Full<Bytes>> {
         // Only maps with keys other than strings can't be encoded, and a problem has none.
         let body = serde_json::to_vec(self).unwrap_or_default();
--- a/crates/observe/src/admin/query.rs
+++ b/crates/observe/src/admin/query.rs
@@ -1,4 +1,4 @@
-//! Parameters of `/timeline`.
+//! Query parameters of `/timeline`.
 
 use crate::timeline::{
     Filter,
@@ -6,7 +6,7 @@
 };
 use sassafrascrank_base::prelude::Name;
 
-/// A parameter of `/timeline` is wrong.
+/// A query parameter of `/timeline` is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
@@ -18,9 +18,9 @@
     Value {
         /// Name of the parameter.
         name: &'static str,
-        /// Its value.
+        /// Start of its value, up to 64 characters.
         value: String,
-        /// What a valid value is.
+        /// Description of a valid value.
         remedy: &'static str,
     },
 }
@@ -59,28 +59,28 @@
             "configuration" => filter.configuration = number("configuration", value)?,
             "since" => filter.since = number("since", value)?,
             "limit" => filter.limit = limit(value)?.unwrap_or(filter.limit),
-            _ => return Err(Error::Unknown(shown(name))),
+            _ => return Err(Error::Unknown(shortened(name))),
         }
     }
     Ok(filter)
 }
 
-/// Reads a value that may be absent.
+/// Parses a value; an empty one counts as absent.
 fn optional<T>(
     name: &'static str,
     value: &str,
     remedy: &'static str,
-    read: impl Fn(&str) -> Option<T>,
+    parse: impl Fn(&str) -> Option<T>,
 ) -> Result<Option<T>, Error> {
     if value.is_empty() {
         return Ok(None);
     }
-    let read = read(value).ok_or_else(|| Error::Value {
+    let parsed = parse(value).ok_or_else(|| Error::Value {
         name,
-        value: shown(value),
+        value: shortened(value),
         remedy,
     })?;
-    Ok(Some(read))
+    Ok(Some(parsed))
 }
 
 fn name(name: &'static str, value: &str) -> Result<Option<Name>, Error> {
@@ -109,9 +109,9 @@
     )
 }
 
-/// Shortens what an error repeats.
-fn shown(text: &str) -> String {
-    /// Longest part that an error repeats, in characters.
-    const SHOWN_LIMIT: usize = 64;
-    text.chars().take(SHOWN_LIMIT).collect()
+/// Returns the start of a text that an error message repeats.
+fn shortened(text: &str) -> String {
+    /// Longest part of a text that an error message repeats, in characters.
+    const SHOWN_CHARS_MAX: usize = 64;
+    text.chars().take(SHOWN_CHARS_MAX).collect()
 }
--- a/crates/observe/src/admin/route.rs
+++ b/crates/observe/src/admin/route.rs
@@ -1,4 +1,4 @@
-//! Answers to the paths of the endpoint.
+//! Routing of requests to the handlers of each path.
 
 use super::{
     problem::Problem,
@@ -29,7 +29,7 @@
 use sassafrascrank_base::prelude::Time;
 use xtra::Address;
 
-/// Answers one request; `now` is the present time.
+/// Answers one request; `now` is the current time.
 pub(super) async fn answer(
     method: &Method,
     uri: &Uri,
@@ -37,7 +37,7 @@
     now: Time,
 ) -> Result<Response<Full<Bytes>>, Problem> {
     if method != Method::GET && method != Method::HEAD {
-        return Err(Problem::method());
+        return Err(Problem::method_not_allowed());
     }
     match uri.path() {
         "/healthz" => health(observer).await,
@@ -70,12 +70,12 @@
     Ok(text(body, "application/json"))
 }
 
-/// Answers with one JSON object a line.
+/// Answers with one JSON object for each record, one a line.
 async fn timeline(
     query: &str,
     observer: &Address<Observer>,
 ) -> Result<Response<Full<Bytes>>, Problem> {
-    let filter = query::parse(query).map_err(|error| Problem::parameter(&error))?;
+    let filter = query::parse(query).map_err(|error| Problem::invalid_parameter(&error))?;
     let records = observer.send(Query(filter)).await.map_err(stopped)?;
     let mut body = String::new();
     for record in &records {
@@ -89,13 +89,14 @@
     serde_json::to_string(value).map_err(|error| Problem::unavailable(error.to_string()))
 }
 
-fn text(body: String, kind: &'static str) -> Response<Full<Bytes>> {
+fn text(body: String, content_type: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.into()));
-    let kind = HeaderValue::from_static(kind);
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static(content_type);
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
+/// Converts the error of a message to an observer that has stopped.
 fn stopped(_: xtra::Error) -> Problem {
     Problem::unavailable("the process is about to end")
 }
--- a/crates/observe/src/admin/server.rs
+++ b/crates/observe/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Connections of the endpoint.
+//! HTTP server of the admin endpoint.
 
 use super::{
     problem::Problem,
@@ -38,20 +38,20 @@
 };
 use xtra::Address;
 
-/// Connections served at once; further ones wait in the listener's backlog.
+/// Largest number of connections served at once; further ones wait in the listener's backlog.
 pub const CONNECTION_LIMIT: u32 = 64;
-/// Time for the head of a request, and for the next request of an idle connection.
+/// Time limit for the head of a request, and for the next request on an idle connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for an answer, after which the request gets status 503.
+/// Time limit for an answer, after which the request gets status 503.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Age at which a connection is closed, so that slow readers can't hold all of them.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for open connections to finish when the endpoint stops.
+/// Time limit for open connections to finish when the endpoint stops.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait after a failed accept, such as one for lack of file descriptors.
-const ACCEPT_DELAY: Duration = Duration::from_millis(100);
+/// Delay before another try after a failed accept, such as one for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Size of the read buffer of a connection in bytes, which bounds the head of a request.
-const BUFFER_LIMIT: usize = 16 * 1_024;
+const BUFFER_BYTES_MAX: usize = 16 * 1_024;
 
 /// Serves operators until `stop` becomes true, then lets open requests finish.
 pub async fn serve<C>(
@@ -67,7 +67,7 @@
         let Some((stream, slot)) = accept(&listener, &slots, stop.clone()).await else {
             break;
         };
-        tokio::spawn(connection(
+        tokio::spawn(serve_connection(
             stream,
             slot,
             observer.clone(),
@@ -76,7 +76,7 @@
         ));
     }
     drop(listener);
-    // Connections that are still open after the time end with the runtime.
+    // Connections that are still open after `STOP_TIMEOUT` are closed when the runtime ends.
     let _ = time::timeout(STOP_TIMEOUT, slots.acquire_many(CONNECTION_LIMIT)).await;
 }
 
@@ -91,7 +91,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => return Some((stream, slot)),
-                Err(_) => time::sleep(ACCEPT_DELAY).await,
+                Err(_) => time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     };
@@ -101,8 +101,8 @@
     }
 }
 
-/// Serves one connection.
-async fn connection<C>(
+/// Serves one connection until its client closes it, it reaches `CONNECTION_TIMEOUT` or the endpoint stops.
+async fn serve_connection<C>(
     stream: TcpStream,
     slot: OwnedSemaphorePermit,
     observer: Address<Observer>,
@@ -120,10 +120,10 @@
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(BUFFER_LIMIT)
+        .max_buf_size(BUFFER_BYTES_MAX)
         .serve_connection(TokioIo::new(stream), service);
     let mut served = pin!(served);
-    // A failed connection concerns only its operator, who sees the failure.
+    // A failed connection affects only its client, which sees the failure.
     tokio::select! {
         _ = served.as_mut() => return,
         _ = stop.wait_for(|stop| *stop) => {}
--- a/crates/observe/src/event/event.rs
+++ b/crates/observe/src/event/event.rs
@@ -1,4 +1,4 @@
-//! One thing that happened in this process.
+//! Event that a thread records.
 
 use super::{
     Kind,
@@ -6,7 +6,8 @@
 };
 use sassafrascrank_base::prelude::*;
 
-/// One thing that happened in this process. Keys are resolved to names on the observe thread.
+/// An event in this process: a step of a request or a change of state. Refers to things by key; the observe thread
+/// resolves the keys to names.
 ///
 /// # Examples
 ///
@@ -39,12 +40,12 @@
     pub upstream: Option<upstream::Key>,
     /// The other entry concerned.
     pub member: Option<entry::Key>,
-    /// A number whose meaning follows from the kind.
+    /// A number whose meaning depends on the kind; see the variants of [`Kind`].
     pub detail: u64,
 }
 
 impl Event {
-    /// Makes an event that concerns nothing in particular.
+    /// Creates an event that has only a time and a kind.
     #[inline]
     pub const fn new(time: Time, kind: Kind) -> Self {
         Self {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Makes the event of a refusal.
+    /// Creates the event of a refused request.
     #[inline]
     pub const fn refused(time: Time, refusal: &Refusal) -> Self {
         let mut event = Self::new(time, Kind::Refused);
@@ -71,7 +72,7 @@
         event
     }
 
-    /// Makes the event of a failed attempt.
+    /// Creates the event of a failed attempt.
     #[inline]
     pub const fn attempt_failed(time: Time, reason: Reason) -> Self {
         let mut event = Self::new(time, Kind::AttemptFailed);
@@ -79,7 +80,7 @@
         event
     }
 
-    /// Makes the event of an answer that took `service` at the upstream.
+    /// Creates the event of an answered request that took the upstream `service` time.
     #[inline]
     pub fn answered(time: Time, service: Duration) -> Self {
         let mut event = Self::new(time, Kind::Answered).duration(service);
--- a/crates/observe/src/event/kind.rs
+++ b/crates/observe/src/event/kind.rs
@@ -4,14 +4,14 @@
 
 macro_rules! kinds {
     ($($(#[doc = $doc:literal])* $name:ident = $code:literal;)*) => {
-        /// What happened. The doc of each kind says what the event's `detail` holds, if anything.
+        /// Kind of an event. The description of each kind says what the event's `detail` holds, if anything.
         #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
         pub enum Kind {
             $($(#[doc = $doc])* $name,)*
         }
 
         impl Kind {
-            /// Every kind, in the order of their declaration.
+            /// All kinds, in the order of their declaration.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
 
             /// Returns the machine-readable code.
@@ -39,21 +39,21 @@
     Answered = "answered";
     /// A request was refused with `outcome` and `reason`.
     Refused = "refused";
-    /// A caller went away before its answer.
+    /// A caller disconnected before its answer.
     Cancelled = "cancelled";
     /// This process appended a configuration change; detail: its offset.
     ConfigurationPublished = "configuration-published";
-    /// A configuration came into force in this process; detail: its offset.
+    /// A configuration took effect in this process; detail: its offset.
     ConfigurationInForce = "configuration-in-force";
-    /// An upstream is draining.
+    /// An upstream is draining: it finishes its requests and gets no new ones.
     UpstreamDraining = "upstream-draining";
-    /// An upstream was ejected; detail: duration of the ejection in microseconds.
+    /// An upstream failed too often and was ejected; detail: duration of the ejection in microseconds.
     UpstreamEjected = "upstream-ejected";
-    /// An upstream takes work again.
+    /// An upstream accepts requests again.
     UpstreamReturned = "upstream-returned";
     /// An entry joined; detail: offset of the membership record.
     MemberJoined = "member-joined";
-    /// An entry left as planned; detail: offset of the membership record.
+    /// An entry left in a planned departure; detail: offset of the membership record.
     MemberLeft = "member-left";
     /// An entry was retired; detail: offset of the membership record.
     MemberRetired = "member-retired";
@@ -73,12 +73,12 @@
     ShutdownDrained = "shutdown-drained";
     /// Outcomes of keyed requests were handed over; detail: their number.
     ShutdownHandedOver = "shutdown-handed-over";
-    /// The process is about to end.
+    /// The process is about to exit.
     ShutdownEnded = "shutdown-ended";
 }
 
 impl Kind {
-    /// Finds the kind with this code.
+    /// Returns the kind with this code, if there is one.
     pub fn from_code(code: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|kind| kind.as_str() == code)
     }
@@ -107,7 +107,7 @@
         )
     }
 
-    /// Orders the events of one request that carry the same time.
+    /// Returns the position of this kind in the course of a request, which orders events that have the same time.
     pub(crate) const fn stage(self) -> u8 {
         match self {
             Self::Arrived => 0,
--- a/crates/observe/src/event/mod.rs
+++ b/crates/observe/src/event/mod.rs
@@ -1,4 +1,4 @@
-//! Events, which any thread records without waiting or allocating.
+//! Events, which any thread records without blocking or allocating.
 
 mod event;
 mod kind;
--- a/crates/observe/src/event/request.rs
+++ b/crates/observe/src/event/request.rs
@@ -1,4 +1,4 @@
-//! Identity of a request over all processes.
+//! Request ids that are unique across all processes.
 
 use core::{
     fmt,
@@ -7,7 +7,7 @@
 };
 use sassafrascrank_base::prelude::Name;
 
-/// Identifies the process that made a request id: a hash of its host name and incarnation.
+/// Identifies the process that assigned a request id: a hash of its host name and incarnation.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Origin(NonZeroU64);
 
@@ -28,10 +28,10 @@
     }
 }
 
-/// Identifies one request over all processes. A forwarded request keeps the id of the entry where it arrived first.
+/// Identifies one request across all processes. A forwarded request keeps the id of the entry where it arrived first.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Id {
-    /// Process that made the id.
+    /// Process that assigned the id.
     pub origin: Origin,
     /// Number of the request within that process.
     pub count: u64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The text is not a request id.
+/// The text is not a valid request id; holds its first 64 characters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 #[error(
@@ -55,9 +55,9 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        /// Longest part of a wrong text that the error repeats, in characters.
-        const SHOWN_LIMIT: usize = 64;
-        let error = || Error(text.chars().take(SHOWN_LIMIT).collect());
+        /// Longest part of an invalid text that the error repeats, in characters.
+        const SHOWN_CHARS_MAX: usize = 64;
+        let error = || Error(text.chars().take(SHOWN_CHARS_MAX).collect());
         let (origin, count) = text.split_once('-').ok_or_else(error)?;
         let digits = |part: &str| part.bytes().all(|c| c.is_ascii_hexdigit());
         if origin.len() != 16 || !digits(origin) || !digits(count) {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Makes request ids; each thread that accepts requests owns one.
+/// Assigns request ids; each thread that accepts requests owns one.
 #[derive(Debug)]
 pub struct Counter {
     origin: Origin,
@@ -79,7 +79,8 @@
 }
 
 impl Counter {
-    /// Makes the counter of thread number `thread` of `threads`, so that no two threads make the same id.
+    /// Creates the counter of thread number `thread`, from 0, of `threads`. The counters of these threads never assign the
+    /// same id.
     pub const fn new(origin: Origin, thread: u64, threads: u64) -> Self {
         Self {
             origin,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Makes the next id.
+    /// Returns the next id.
     pub const fn next_id(&mut self) -> Id {
         let count = self.next;
         self.next = self.next.wrapping_add(self.step);
--- a/crates/observe/src/event/sink.rs
+++ b/crates/observe/src/event/sink.rs
@@ -1,4 +1,4 @@
-//! The ring that carries the events of one thread to the observe thread.
+//! Ring that carries the events of one thread to the observe thread.
 
 use super::Event;
 use sassafrascrank_ring::{
@@ -14,14 +14,14 @@
     },
 };
 
-/// Where one thread records its events.
+/// Recording end of a thread's event ring.
 #[derive(Debug)]
 pub struct Sink {
     sender: Sender<Event>,
     dropped: Arc<AtomicU64>,
 }
 
-/// Where the observe thread takes the events of one thread from.
+/// Reading end of a thread's event ring, held by the observe thread.
 #[derive(Debug)]
 pub struct Source {
     thread: &'static str,
@@ -29,7 +29,7 @@
     dropped: Arc<AtomicU64>,
 }
 
-/// Makes the event ring of the thread `thread`, with room for `capacity` events.
+/// Creates the event ring of the thread named `thread`, with room for `capacity` events.
 pub fn ring(thread: &'static str, capacity: usize, signal: &Signal) -> (Sink, Source) {
     let (sender, receiver) = sassafrascrank_ring::ring(capacity, signal);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -48,7 +48,7 @@
 impl Sink {
     /// Records an event. If the ring is full, drops the event and counts it. Never allocates.
     ///
-    /// Record an event before passing on its effect to another thread; then the time line shows both in order.
+    /// Record an event before passing its effect to another thread, so that the time line shows cause and effect in order.
     #[inline]
     pub fn record(&mut self, event: Event) {
         if self.sender.send(event).is_err() {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns how many events were dropped since the ring was made.
+    /// Returns the number of events dropped since the ring was created.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -73,12 +73,12 @@
         self.receiver.try_recv()
     }
 
-    /// Tells whether no event waits.
+    /// Tells whether the ring is empty.
     pub fn is_empty(&self) -> bool {
         self.receiver.is_empty()
     }
 
-    /// Returns how many events were dropped since the ring was made.
+    /// Returns the number of events dropped since the ring was created.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,7 +1,7 @@
-//! What an entry process shows of itself: event records, time line, metrics and the admin endpoint.
+//! Observability of an entry process: events, time line, metrics, status and the admin endpoint.
 //!
 //! Every thread records [`event::Event`]s in a bounded ring. The observe thread ([`thread::start`]) drains the rings,
-//! resolves keys to names, counts, logs changes of state and answers operators.
+//! resolves keys to names, updates metrics, logs changes of state and serves the admin endpoint.
 
 pub mod admin;
 pub mod event;
