--- a/crates/observe/src/metrics/bound.rs
+++ b/crates/observe/src/metrics/bound.rs
@@ -1,40 +1,41 @@
-//! Bounds on the number of label sets.
+//! Limits on the number of label values and label sets, which keep scrapes small.
 
 use core::hash::Hash;
 use std::collections::HashSet;
 
-/// Customers that have a label value of their own; the others share `other`.
+/// Largest number of customers with a label value of their own; the others share the value `other`.
 pub const CUSTOMER_LIMIT: usize = 1_000;
-/// Pools that have a label value of their own; the others share `other`.
+/// Largest number of pools with a label value of their own; the others share the value `other`.
 pub const POOL_LIMIT: usize = 256;
-/// Sets of customer, pool, outcome and reason that are counted on their own. In the others, customer and pool are
-/// `other`. One set takes about 200 bytes in a scrape, so that a scrape stays near 1 MB.
+/// Largest number of label sets of customer, pool, outcome and reason with a time series of their own. Requests beyond
+/// it are counted with customer and pool `other`. One set takes about 200 bytes in a scrape, so a scrape stays near
+/// 1 MB.
 pub const LABEL_SET_LIMIT: usize = 5_000;
 
-/// Admits the first `limit` distinct keys.
+/// Cardinality limit of a label: admits the first `limit` distinct keys and no others.
 #[derive(Debug)]
 pub struct Bound<K> {
-    known: HashSet<K>,
+    admitted: HashSet<K>,
     limit: usize,
 }
 
 impl<K: Clone + Eq + Hash> Bound<K> {
-    /// Makes a bound of `limit` keys.
+    /// Creates a bound that admits `limit` keys.
     pub fn new(limit: usize) -> Self {
         Self {
-            known: HashSet::new(),
+            admitted: HashSet::new(),
             limit,
         }
     }
 
-    /// Tells whether the key is among the first `limit` distinct ones.
+    /// Tells whether the key is admitted. Admits a new key as long as there are fewer than `limit`.
     pub fn admits(&mut self, key: &K) -> bool {
-        if self.known.contains(key) {
+        if self.admitted.contains(key) {
             return true;
         }
-        if self.known.len() >= self.limit {
+        if self.admitted.len() >= self.limit {
             return false;
         }
-        self.known.insert(key.clone())
+        self.admitted.insert(key.clone())
     }
 }
--- a/crates/observe/src/metrics/gauge.rs
+++ b/crates/observe/src/metrics/gauge.rs
@@ -1,4 +1,4 @@
-//! Values that are read when the metrics are scraped.
+//! Gauges and counters whose values are read when the metrics are scraped.
 
 use super::POOL_LIMIT;
 use crate::status::{
@@ -25,21 +25,25 @@
     },
 };
 
-/// Values of the gauges, shared with the callbacks. All of them run on the observe thread.
+/// Values of the instruments, shared with their callbacks. All callbacks run on the observe thread.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shared(Arc<Mutex<Values>>);
 
-/// Values of all gauges.
+/// Values that the callbacks report.
 #[derive(Debug, Default)]
 pub(super) struct Values {
-    /// Values by pool: slots, running, queued.
+    /// Slots, running requests and queued requests, in this order, by pool.
     pools: BTreeMap<String, [u64; 3]>,
     /// Number of upstreams by pool and state.
     upstreams: BTreeMap<(String, &'static str), u64>,
+    /// Offset of the configuration in force.
     configuration: u64,
+    /// Offset of the membership view.
     membership: u64,
     members: u64,
+    /// 1 while the platform's log answers, else 0.
     log_reachable: u64,
+    /// 1 while the process serves callers, else 0.
     serving: u64,
     /// Events dropped by recording thread.
     pub(super) dropped: BTreeMap<&'static str, u64>,
@@ -52,13 +56,13 @@
 }
 
 impl Shared {
-    /// Gives access to the values.
+    /// Locks the values.
     pub(super) fn values(&self) -> MutexGuard<'_, Values> {
-        // A panic elsewhere ends the process, so that the values need no check after one.
+        // A panic elsewhere ends the process, so a poisoned lock needs no handling.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes an instrument's callback out of a function that observes the values.
+    /// Creates an instrument's callback from a function that reports values.
     fn callback<T>(
         &self,
         observe: fn(&Values, &dyn AsyncInstrument<T>),
@@ -69,8 +73,8 @@
 }
 
 impl Values {
-    /// Takes over what the status says.
-    pub(super) fn take(&mut self, status: &Status) {
+    /// Sets the values that follow from the status.
+    pub(super) fn set_status(&mut self, status: &Status) {
         self.pools.clear();
         self.upstreams.clear();
         for pool in &status.engine.pools {
@@ -105,9 +109,9 @@
     }
 }
 
-/// Returns the label value of a pool if `count` pools have one already.
-fn label(pool: &str, count: usize) -> String {
-    let label = if count < POOL_LIMIT { pool } else { "other" };
+/// Returns the label value of a pool when `labelled` pools have a value of their own already.
+fn label(pool: &str, labelled: usize) -> String {
+    let label = if labelled < POOL_LIMIT { pool } else { "other" };
     label.to_owned()
 }
 
@@ -115,7 +119,7 @@
 pub(super) fn register(meter: &Meter, shared: &Shared) {
     register_pools(meter, shared);
     register_platform(meter, shared);
-    register_own(meter, shared);
+    register_observe(meter, shared);
 }
 
 fn register_pools(meter: &Meter, shared: &Shared) {
@@ -192,7 +196,7 @@
         .build();
 }
 
-fn register_own(meter: &Meter, shared: &Shared) {
+fn register_observe(meter: &Meter, shared: &Shared) {
     meter
         .u64_observable_counter("ring.drops")
         .with_description("Events dropped because the ring of the recording thread was full")
--- a/crates/observe/src/metrics/registry.rs
+++ b/crates/observe/src/metrics/registry.rs
@@ -1,4 +1,4 @@
-//! Instruments of the process.
+//! Registry of all instruments of the process.
 
 use super::{
     Bound,
@@ -31,16 +31,17 @@
 use prometheus::TextEncoder;
 use sassafrascrank_base::prelude::*;
 
-/// Upper bounds of the buckets of waits and service times, in seconds: from below a wake-up between threads to the
-/// longest jobs, with 3 s, within which urgent work has to start.
-const BOUNDARIES: [f64; 13] = [
+/// Upper bounds of the histogram buckets of queue waits and service times, in seconds. They range from less than a
+/// wake-up between threads to the longest jobs, and include 3 s, within which urgent work has to start.
+const BUCKET_BOUNDS_SECONDS: [f64; 13] = [
     0.001, 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0, 10.0, 30.0, 120.0, 600.0,
 ];
-/// Label sets of one instrument in the SDK; above what the own bounds let pass, so that these decide.
+/// Cardinality limit of one instrument in the OpenTelemetry SDK. It lies above the limits of this module, so that these
+/// apply first.
 const SDK_LABEL_SET_LIMIT: usize = 2 * LABEL_SET_LIMIT;
-/// Label value of what has no name or of what lies above a bound.
+/// Label value shared by customers and pools beyond a limit.
 const OTHER: &str = "other";
-/// Label value of what does not apply.
+/// Label value if the record has no value for the label.
 const NONE: &str = "none";
 
 /// The metrics can't be set up or encoded.
@@ -76,7 +77,7 @@
 }
 
 impl Registry {
-    /// Registers all instruments.
+    /// Creates and registers all instruments.
     ///
     /// # Errors
     ///
@@ -89,7 +90,7 @@
             .scope_info_enabled(false)
             .without_target_info()
             .build()?;
-        let bounded = |_: &Instrument| {
+        let cardinality_view = |_: &Instrument| {
             Stream::builder()
                 .with_cardinality_limit(SDK_LABEL_SET_LIMIT)
                 .build()
@@ -97,7 +98,7 @@
         };
         let provider = SdkMeterProvider::builder()
             .with_reader(exporter)
-            .with_view(bounded)
+            .with_view(cardinality_view)
             .build();
         let meter = provider.meter("sassafrascrank");
         let gauges = gauge::Shared::default();
@@ -107,7 +108,9 @@
                 .f64_histogram(name)
                 .with_unit("s")
                 .with_description(description);
-            builder.with_boundaries(BOUNDARIES.to_vec()).build()
+            builder
+                .with_boundaries(BUCKET_BOUNDS_SECONDS.to_vec())
+                .build()
         };
         let counter = |name, description| {
             meter
@@ -130,7 +133,7 @@
         })
     }
 
-    /// Counts one event.
+    /// Updates the instruments that depend on the kind of the event.
     pub fn count(&mut self, record: &Record) {
         self.events
             .add(1, &[KeyValue::new("kind", record.kind.as_str())]);
@@ -143,10 +146,10 @@
             Kind::Answered => {
                 let labels = self.pool_label(record);
                 self.services.record(seconds(record), &labels);
-                self.end(record, Outcome::Answered.as_str());
+                self.count_end(record, Outcome::Answered.as_str());
             }
-            Kind::Refused => self.end(record, record.outcome.map_or(NONE, Outcome::as_str)),
-            Kind::Cancelled => self.end(record, "cancelled"),
+            Kind::Refused => self.count_end(record, record.outcome.map_or(NONE, Outcome::as_str)),
+            Kind::Cancelled => self.count_end(record, "cancelled"),
             Kind::AttemptFailed => {
                 let [pool] = self.pool_label(record);
                 let reason = KeyValue::new("reason", record.reason.map_or(NONE, Reason::as_str));
@@ -156,19 +159,19 @@
         }
     }
 
-    /// Takes over the gauges that follow from the status.
+    /// Sets the gauges that follow from the status.
     pub fn set_status(&self, status: &Status) {
-        self.gauges.values().take(status);
+        self.gauges.values().set_status(status);
     }
 
-    /// Takes over the gauges that follow from the time line.
+    /// Sets the gauges that follow from the time line.
     pub fn set_timeline(&self, timeline: &Timeline) {
         let mut values = self.gauges.values();
         values.records = timeline.len() as u64;
         values.overwritten = timeline.overwritten();
     }
 
-    /// Takes over how many events a thread has dropped.
+    /// Sets the total number of events that a thread has dropped.
     pub fn set_dropped(&self, thread: &'static str, dropped: u64) {
         self.gauges.values().dropped.insert(thread, dropped);
     }
@@ -182,8 +185,8 @@
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
 
-    /// Counts the end of a request.
-    fn end(&mut self, record: &Record, outcome: &'static str) {
+    /// Counts a request that ended, within the limits on label values and label sets.
+    fn count_end(&mut self, record: &Record, outcome: &'static str) {
         let reason = record.reason.map_or(NONE, Reason::as_str);
         let customer = label(&mut self.customers, record.customer.as_ref());
         let pool = label(&mut self.pools, record.pool.as_ref());
@@ -213,7 +216,7 @@
     }
 }
 
-/// Returns the label value of a name.
+/// Returns the label value of a name: the name itself, `other` beyond the bound or `none` if there is no name.
 fn label<'a>(bound: &mut Bound<Name>, name: Option<&'a Name>) -> &'a str {
     match name {
         Some(name) if bound.admits(name) => name.as_str(),
@@ -222,8 +225,8 @@
     }
 }
 
-/// Returns the label value of an urgency class. The most urgent class has a value of its own, since a bound holds for
-/// its wait; one for each class would make a scrape four times as long.
+/// Returns the label value of an urgency class. Only the most urgent class has a value of its own, since its wait has a
+/// target; a value for each class would make a scrape four times as long.
 fn urgency(class: Option<class::Index>) -> &'static str {
     match class {
         Some(class::Index(0)) => "first",
@@ -232,7 +235,7 @@
     }
 }
 
-/// Returns the duration in the record's detail, in seconds.
+/// Converts the record's detail, a duration in microseconds, to seconds.
 fn seconds(record: &Record) -> f64 {
     Duration::from_micros(record.detail).as_secs_f64()
 }
--- a/crates/observe/src/names/mod.rs
+++ b/crates/observe/src/names/mod.rs
@@ -1,4 +1,4 @@
-//! Names of the things that events refer to by key.
+//! Names of the customers, pools, upstreams and entries that events refer to by key.
 
 mod table;
 
--- a/crates/observe/src/names/table.rs
+++ b/crates/observe/src/names/table.rs
@@ -1,9 +1,9 @@
-//! Tables of names sent by control threads, and the merged table that resolves keys.
+//! Tables of names that other threads send, and the merged table that resolves keys.
 
 use sassafrascrank_base::prelude::*;
 use slotmap::SecondaryMap;
 
-/// Names that a control thread sends whenever keys are new; names sent before remain known.
+/// Names of new keys, sent to the observe thread before the keys are used in events. Names sent earlier remain valid.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// Names of customers.
@@ -18,7 +18,7 @@
 
 /// All names known to the observe thread.
 ///
-/// A name replaces that of the earlier key in the same place of the arena, so the size is bounded by the arenas.
+/// A name replaces that of an earlier key in the same slot of the arena, so the size is bounded by that of the arenas.
 #[derive(Debug, Default)]
 pub struct Names {
     customers: SecondaryMap<customer::Key, Name>,
@@ -36,22 +36,22 @@
         self.members.extend(table.members);
     }
 
-    /// Finds the name of a customer.
+    /// Returns the name of a customer.
     pub fn customer(&self, key: customer::Key) -> Option<&Name> {
         self.customers.get(key)
     }
 
-    /// Finds the name of a pool.
+    /// Returns the name of a pool.
     pub fn pool(&self, key: pool::Key) -> Option<&Name> {
         self.pools.get(key)
     }
 
-    /// Finds the host name of an upstream.
+    /// Returns the host name of an upstream.
     pub fn upstream(&self, key: upstream::Key) -> Option<&Name> {
         self.upstreams.get(key)
     }
 
-    /// Finds the host name of another entry.
+    /// Returns the host name of another entry.
     pub fn member(&self, key: entry::Key) -> Option<&Name> {
         self.members.get(key)
     }
--- a/crates/observe/src/observer/message.rs
+++ b/crates/observe/src/observer/message.rs
@@ -8,31 +8,31 @@
 };
 use sassafrascrank_base::prelude::Time;
 
-/// What the main loop drained from the rings at once.
+/// Items that the main loop collected from the rings at once.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Tables of names; they hold the names of all keys in the events.
+    /// Tables of names; with earlier tables, they hold the names of all keys in the events.
     pub tables: Vec<Table>,
-    /// Events in their order.
+    /// Events in the order in which they are appended to the time line.
     pub events: Vec<Event>,
-    /// Parts of the status.
+    /// Changed parts of the status.
     pub updates: Vec<Update>,
-    /// Events dropped so far by each thread.
+    /// Total number of events dropped by each thread.
     pub dropped: Vec<(&'static str, u64)>,
 }
 
-/// Asks for all metrics in the Prometheus text format.
+/// Requests all metrics in the Prometheus text format.
 #[derive(Clone, Copy, Debug)]
 pub struct Scrape;
 
-/// Asks for records of the time line.
+/// Requests records of the time line.
 #[derive(Clone, Debug)]
 pub struct Query(pub Filter);
 
-/// Asks for the status as of a time.
+/// Requests the status as of a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Inspect(pub Time);
 
-/// Asks for the phase of the process.
+/// Requests the phase of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Health;
--- a/crates/observe/src/observer/observer.rs
+++ b/crates/observe/src/observer/observer.rs
@@ -39,7 +39,7 @@
     Handler, //
 };
 
-/// Owns what the process shows of itself.
+/// Actor that owns the time line, the metrics and the status of the process.
 #[derive(Actor)]
 pub struct Observer {
     names: Names,
@@ -50,7 +50,7 @@
 }
 
 impl Observer {
-    /// Makes an observer of the process of `timeline`.
+    /// Creates the observer of the process that `timeline` belongs to.
     pub fn new(timeline: Timeline, metrics: Registry, status: Status, logger: Arc<Logger>) -> Self {
         metrics.set_status(&status);
         Self {
@@ -63,7 +63,7 @@
     }
 
     /// Counts an event, appends it to the time line and logs it if it is a change of state.
-    fn absorb(&mut self, event: &Event) {
+    fn handle_event(&mut self, event: &Event) {
         let record = self.timeline.append(event, &self.names);
         self.metrics.count(&record);
         log::write(&self.logger, &record);
@@ -81,7 +81,7 @@
             self.names.add(table);
         }
         for event in &batch.events {
-            self.absorb(event);
+            self.handle_event(event);
         }
         for update in batch.updates {
             self.status.apply(update);
--- a/crates/observe/src/status/mod.rs
+++ b/crates/observe/src/status/mod.rs
@@ -1,4 +1,4 @@
-//! The present state of the process, as its threads report it.
+//! Current status of the process, as its threads report it.
 
 mod status;
 pub mod update;
--- a/crates/observe/src/status/status.rs
+++ b/crates/observe/src/status/status.rs
@@ -1,4 +1,4 @@
-//! The whole status of the process.
+//! Status of the process.
 
 use super::update::{
     Engine,
@@ -9,25 +9,25 @@
 use crate::timeline::Process;
 use sassafrascrank_base::prelude::*;
 
-/// The last value of each part of the status.
+/// Status of the process, with the last value of each part.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Status {
-    /// This process.
+    /// Identity of the process.
     pub process: Process,
     /// Name of its availability zone.
     pub zone: Name,
     /// When it started.
     pub started: Time,
-    /// Phase of its life.
+    /// Phase of its lifecycle.
     pub phase: Phase,
-    /// Pools and upstreams.
+    /// State of the dispatch engine: pools and upstreams.
     pub engine: Engine,
-    /// Configuration, members and log.
+    /// State read from the platform: configuration, members and log.
     pub platform: Platform,
 }
 
 impl Status {
-    /// Makes the status of a process that has just started.
+    /// Creates the status of a process that has just started.
     pub fn new(process: Process, zone: Name, started: Time) -> Self {
         Self {
             process,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Replaces a part. A shutdown is never taken back.
+    /// Replaces a part. The phase no longer changes once it is `ShuttingDown`.
     pub fn apply(&mut self, update: Update) {
         match update {
             Update::Engine(engine) => self.engine = engine,
--- a/crates/observe/src/status/update.rs
+++ b/crates/observe/src/status/update.rs
@@ -1,26 +1,26 @@
-//! Parts of the status; the thread that owns a part sends it whole.
+//! Parts of the status. The thread that owns a part always sends it whole.
 
 use core::fmt;
 use sassafrascrank_base::prelude::*;
 use std::net::SocketAddr;
 
-/// A part of the status. It replaces the last value of the same part.
+/// A part of the status, which replaces the last value of the same part.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Update {
-    /// Sent by `dispatch`.
+    /// State of the dispatch engine, sent by the thread `dispatch`.
     Engine(Engine),
-    /// Sent by `platform`.
+    /// State read from the platform, sent by the thread `platform`.
     Platform(Platform),
-    /// Sent by the thread that starts and stops the process.
+    /// Phase of the process, sent by the thread that starts and stops it.
     Phase(Phase),
 }
 
-/// Pools and upstreams as this entry sees them.
+/// State of the dispatch engine: pools and upstreams as this entry sees them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Engine {
-    /// Pools in the order of their names.
+    /// Pools, sorted by name.
     pub pools: Vec<Pool>,
-    /// Upstreams in the order of their hosts.
+    /// Upstreams, sorted by host.
     pub upstreams: Vec<Upstream>,
 }
 
@@ -31,9 +31,9 @@
     pub name: Name,
     /// Slots in this entry's partition.
     pub slots: u64,
-    /// Requests of this entry that run.
+    /// Running requests of this entry.
     pub running: u64,
-    /// Requests of this entry that wait.
+    /// Queued requests of this entry.
     pub queued: u64,
 }
 
@@ -46,27 +46,27 @@
     pub pool: Name,
     /// Name of its availability zone.
     pub zone: Name,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: State,
     /// Slots in this entry's partition.
     pub slots: u64,
-    /// Requests of this entry that run on it.
+    /// Running requests of this entry on the upstream.
     pub running: u64,
 }
 
-/// Whether an upstream takes work.
+/// Whether an upstream accepts requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It takes work.
+    /// It accepts requests.
     Active,
-    /// It finishes its work and gets no more.
+    /// It finishes its requests and gets no new ones.
     Draining,
-    /// It failed too often and gets only probes.
+    /// It failed too often and gets only probe requests.
     Ejected,
 }
 
 impl State {
-    /// Every state.
+    /// All states.
     pub const ALL: [Self; 3] = [Self::Active, Self::Draining, Self::Ejected];
 
     /// Returns the machine-readable code.
@@ -79,16 +79,16 @@
     }
 }
 
-/// What was read from the platform's log.
+/// State read from the platform's log.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Platform {
-    /// Offset of the configuration in force; 0 before the first.
+    /// Offset of the configuration in force; 0 if there is none yet.
     pub configuration: u64,
-    /// Offset of the membership view; 0 before the first.
+    /// Offset of the membership view; 0 if there is none yet.
     pub membership: u64,
-    /// Members in the view, in the order of their hosts.
+    /// Entries in the membership view, sorted by host.
     pub members: Vec<Member>,
-    /// When the log stopped answering, if it did.
+    /// When the log stopped answering; `None` while it answers.
     pub log_lost: Option<Time>,
 }
 
@@ -103,11 +103,11 @@
     pub zone: Name,
     /// Address of its listener.
     pub address: SocketAddr,
-    /// Whether this process hears from it.
+    /// Whether this process receives messages from it.
     pub reachable: bool,
 }
 
-/// Phase of the life of the process.
+/// Phase of the lifecycle of the process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Phase {
     /// It has no complete configuration yet.
@@ -115,7 +115,7 @@
     Starting,
     /// It serves callers.
     Serving,
-    /// It finishes its work and takes no more.
+    /// It finishes its requests and accepts no new ones.
     ShuttingDown,
 }
 
--- a/crates/observe/src/status/wire.rs
+++ b/crates/observe/src/status/wire.rs
@@ -7,7 +7,7 @@
     Serialize, //
 };
 
-/// The status as it is sent to operators.
+/// The status as `/status` returns it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Status {
@@ -17,7 +17,7 @@
     pub incarnation: u64,
     /// Availability zone of the process.
     pub zone: String,
-    /// Phase of its life: `starting`, `serving` or `shutting-down`.
+    /// Phase of its lifecycle: `starting`, `serving` or `shutting-down`.
     pub phase: String,
     /// Milliseconds since its start.
     pub uptime_ms: u64,
@@ -25,9 +25,9 @@
     pub configuration: u64,
     /// Offset of the membership view.
     pub membership: u64,
-    /// State of the log.
+    /// Reachability of the platform's log.
     pub log: Log,
-    /// Members in the view.
+    /// Entries in the membership view.
     pub members: Vec<Member>,
     /// Pools as this entry sees them.
     pub pools: Vec<Pool>,
@@ -35,13 +35,13 @@
     pub upstreams: Vec<Upstream>,
 }
 
-/// State of the log.
+/// Reachability of the platform's log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Log {
     /// Whether it answers.
     pub reachable: bool,
-    /// Milliseconds since it stopped answering.
+    /// Milliseconds since it stopped answering; absent while it answers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lost_ms: Option<u64>,
 }
@@ -58,7 +58,7 @@
     pub zone: String,
     /// Address of its listener.
     pub address: String,
-    /// Whether this process hears from it.
+    /// Whether this process receives messages from it.
     pub reachable: bool,
 }
 
@@ -70,9 +70,9 @@
     pub name: String,
     /// Slots in this entry's partition.
     pub slots: u64,
-    /// Requests that run.
+    /// Running requests of this entry.
     pub running: u64,
-    /// Requests that wait.
+    /// Queued requests of this entry.
     pub queued: u64,
 }
 
@@ -90,7 +90,7 @@
     pub state: String,
     /// Slots in this entry's partition.
     pub slots: u64,
-    /// Requests that run.
+    /// Running requests of this entry.
     pub running: u64,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Returns the milliseconds from `earlier` to `now`.
+/// Returns the milliseconds from `earlier` to `now`, or 0 if `earlier` is later.
 fn millis(earlier: Time, now: Time) -> u64 {
     now.as_millis().saturating_sub(earlier.as_millis())
 }
