--- a/crates/observe/src/event/request.rs
+++ b/crates/observe/src/event/request.rs
@@ -79,8 +79,8 @@
 }
 
 impl Counter {
-    /// Creates the counter of thread number `thread`, from 0, of `threads`. The counters of these threads never assign the
-    /// same id.
+    /// Creates the counter of thread number `thread`, from 0, of `threads`. The counters of these threads never assign
+    /// the same id.
     pub const fn new(origin: Origin, thread: u64, threads: u64) -> Self {
         Self {
             origin,
--- a/crates/observe/src/event/sink.rs
+++ b/crates/observe/src/event/sink.rs
@@ -48,7 +48,8 @@
 impl Sink {
     /// Records an event. If the ring is full, drops the event and counts it. Never allocates.
     ///
-    /// Record an event before passing its effect to another thread, so that the time line shows cause and effect in order.
+    /// Record an event before passing its effect to another thread, so that the time line shows cause and effect in
+    /// order.
     #[inline]
     pub fn record(&mut self, event: Event) {
         if self.sender.send(event).is_err() {
--- a/crates/observe/src/thread/handle.rs
+++ b/crates/observe/src/thread/handle.rs
@@ -1,4 +1,4 @@
-//! Handle of the running thread.
+//! Handle to the running observe thread.
 
 use super::Error;
 use sassafrascrank_ring::Signal;
@@ -13,7 +13,7 @@
     thread::JoinHandle, //
 };
 
-/// Request to stop, shared with the thread.
+/// Flag that asks the thread to stop, shared with it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Stop(Arc<AtomicBool>);
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Stops the observe thread. If it is dropped, the thread runs on until the process ends.
+/// Handle to stop the observe thread. If it is dropped, the thread runs until the process ends.
 #[derive(Debug)]
 pub struct Handle {
     pub(super) stop: Stop,
@@ -32,8 +32,8 @@
 }
 
 impl Handle {
-    /// Drains all rings, lets open requests of operators finish, flushes the log and waits for the thread's end,
-    /// which takes at most about 2 s.
+    /// Stops the thread and waits until it has ended. The thread first processes the events in the rings, lets open
+    /// admin requests finish for at most about 2 s and flushes the log.
     ///
     /// # Errors
     ///
--- a/crates/observe/src/thread/mod.rs
+++ b/crates/observe/src/thread/mod.rs
@@ -1,4 +1,4 @@
-//! The observe thread.
+//! The observe thread: collects items from the rings and runs the observer and the admin endpoint.
 
 mod collector;
 mod handle;
--- a/crates/observe/src/thread/start.rs
+++ b/crates/observe/src/thread/start.rs
@@ -1,4 +1,4 @@
-//! Start and main loop of the thread.
+//! Start and main loop of the observe thread.
 
 use super::{
     Handle,
@@ -47,36 +47,36 @@
     Mailbox, //
 };
 
-/// Time between two batches. While the thread pauses, producers don't pay for a wake-up; at 100,000 events a second
-/// 500 of them gather in the rings.
+/// Pause between two batches, so that recording threads don't wake the observe thread at each event. At 100,000 events
+/// a second, 500 events gather in the rings during one pause.
 const BATCH_INTERVAL: Duration = Duration::from_millis(5);
-/// Batches drained at most after the request to stop (1 s), even if threads still record events.
-const LAST_BATCH_LIMIT: usize = 200;
-/// Messages that wait for the observer: one batch and one request of each connection.
+/// Largest number of batches after the request to stop, which take about 1 s, in case threads still record events.
+const FINAL_BATCHES_MAX: usize = 200;
+/// Capacity of the observer's mailbox in messages: one batch and one request of each admin connection.
 const MAILBOX_CAPACITY: usize = admin::CONNECTION_LIMIT as usize + 1;
 
-/// What the thread needs.
+/// Inputs of the observe thread.
 #[derive(Debug)]
 pub struct Setup<C> {
-    /// This process.
+    /// Identity of the process.
     pub process: Process,
     /// Name of its availability zone.
     pub zone: Name,
-    /// Number of records in the time line, such as `timeline::CAPACITY_DEFAULT`.
+    /// Largest number of records in the time line, such as `timeline::CAPACITY_DEFAULT`.
     pub capacity: usize,
-    /// Listener of the endpoint for operators.
+    /// Listener of the admin endpoint.
     pub listener: TcpListener,
-    /// Event rings, one for each recording thread.
+    /// Reading ends of the event rings, one for each recording thread.
     pub sources: Vec<Source>,
-    /// Rings of name tables.
+    /// Reading ends of the rings of name tables.
     pub tables: Vec<Receiver<Table>>,
-    /// Rings of status updates.
+    /// Reading ends of the rings of status updates.
     pub updates: Vec<Receiver<Update>>,
-    /// Signal of all these rings.
+    /// Signal that all these rings raise when they receive an item.
     pub signal: Signal,
-    /// Tells the present time.
+    /// Returns the current time.
     pub clock: C,
-    /// Where log lines go, such as `spdlog::default_logger()`.
+    /// Destination of the log lines, such as `spdlog::default_logger()`.
     pub logger: Arc<Logger>,
 }
 
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The system refused a listener, a runtime or a thread.
+    /// The operating system refused to set up the listener, the runtime or the thread.
     #[error(
         "the observe thread can't start ({0}); raise the limits on file descriptors and threads"
     )]
@@ -97,11 +97,11 @@
     Panicked,
 }
 
-/// Starts the thread `observe`.
+/// Starts the observe thread, which has the name `observe`.
 ///
 /// # Errors
 ///
-/// Fails if the system refuses a resource or the metrics can't be set up.
+/// Fails if the operating system refuses a resource or the metrics can't be set up.
 pub fn start<C>(setup: Setup<C>) -> Result<Handle, Error>
 where
     C: Fn() -> Time + Clone + Send + Sync + 'static,
@@ -116,7 +116,7 @@
     let status = Status::new(setup.process.clone(), setup.zone, (setup.clock)());
     let timeline = Timeline::new(setup.process, setup.capacity);
     let logger = Arc::clone(&setup.logger);
-    let work = Work {
+    let worker = Worker {
         observer: Observer::new(timeline, metrics, status, setup.logger),
         listener,
         collector: Collector::new(setup.sources, setup.tables, setup.updates),
@@ -124,11 +124,11 @@
         clock: setup.clock,
         stop: Stop::default(),
     };
-    let stop = work.stop.clone();
+    let stop = worker.stop.clone();
     let thread = thread::Builder::new()
         .name("observe".to_owned())
         .spawn(move || {
-            runtime.block_on(work.run());
+            runtime.block_on(worker.run());
             logger.flush();
         })?;
     Ok(Handle {
@@ -139,7 +139,7 @@
 }
 
 /// State of the running thread.
-struct Work<C> {
+struct Worker<C> {
     observer: Observer,
     listener: tokio::net::TcpListener,
     collector: Collector,
@@ -148,11 +148,11 @@
     stop: Stop,
 }
 
-impl<C> Work<C>
+impl<C> Worker<C>
 where
     C: Fn() -> Time + Clone + Send + Sync + 'static,
 {
-    /// Runs the actor, the endpoint and the main loop until the thread has to stop.
+    /// Runs the observer, the admin endpoint and the main loop until the thread has to stop.
     async fn run(self) {
         let (address, mailbox) = Mailbox::bounded(MAILBOX_CAPACITY);
         let actor = tokio::spawn(xtra::run(mailbox, self.observer));
@@ -169,13 +169,13 @@
         .await;
         stopping.send_replace(true);
         drop(address);
-        propagate(server.await);
-        propagate(actor.await);
+        propagate_panic(server.await);
+        propagate_panic(actor.await);
     }
 }
 
-/// Continues the panic of a task, because the thread must not go on without it.
-fn propagate(ended: Result<(), JoinError>) {
+/// Resumes the panic of a task, because the thread must not continue without the task.
+fn propagate_panic(ended: Result<(), JoinError>) {
     if let Err(panic) = ended.map_err(JoinError::try_into_panic)
         && let Ok(panic) = panic
     {
@@ -183,7 +183,8 @@
     }
 }
 
-/// Passes batches to the observer until the thread has to stop and nothing waits, or the observer has panicked.
+/// Passes batches to the observer until the thread has to stop and all rings are empty, the last of
+/// `FINAL_BATCHES_MAX` batches was passed, or the observer has panicked.
 async fn pass_batches<C: Fn() -> Time>(
     mut collector: Collector,
     signal: &Signal,
@@ -191,17 +192,17 @@
     stop: &Stop,
     observer: &Address<Observer>,
 ) {
-    let mut last_batches = LAST_BATCH_LIMIT;
+    let mut final_batches_left = FINAL_BATCHES_MAX;
     loop {
         signal.wait(|| stop.is_set() || !collector.is_empty()).await;
         let stopping = stop.is_set();
         if observer.send(collector.batch(clock())).await.is_err() {
             return;
         }
-        if stopping && (collector.is_empty() || last_batches == 0) {
+        if stopping && (collector.is_empty() || final_batches_left == 0) {
             return;
         }
-        last_batches -= usize::from(stopping);
+        final_batches_left -= usize::from(stopping);
         time::sleep(BATCH_INTERVAL).await;
     }
 }
--- a/crates/observe/src/timeline/filter.rs
+++ b/crates/observe/src/timeline/filter.rs
@@ -1,16 +1,16 @@
-//! Choice of records of a time line.
+//! Filter for queries of a time line.
 
 use super::Record;
 use crate::event::request;
 use sassafrascrank_base::prelude::Name;
 
-/// Number of records in a reply if the query sets none.
+/// Largest number of records in a reply if the query sets no limit.
 pub const LIMIT_DEFAULT: usize = 500;
-/// Largest number of records in a reply. At about 300 bytes a record, 64 replies at once take 38 MB of the 256 MB
-/// that a daemon may use.
+/// Upper bound of the limit that a query can set. At about 300 bytes a record, 64 replies at once take 38 MB of the
+/// 256 MB that a daemon may use.
 pub const LIMIT_MAX: usize = 2_000;
 
-/// Conditions that all have to hold; a condition that is not set always holds.
+/// Conditions on records, all of which have to hold. A condition that is not set always holds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Filter {
     /// The request concerned.
@@ -23,9 +23,10 @@
     pub customer: Option<Name>,
     /// Offset of the configuration in force.
     pub configuration: Option<u64>,
-    /// Only records with a higher sequence, the oldest first. Without it, the newest records are chosen.
+    /// Selects records with a higher sequence, up to `limit` from the oldest on. If not set, the newest `limit` records
+    /// are selected.
     pub since: Option<u64>,
-    /// Number of records at most, up to `LIMIT_MAX`.
+    /// Largest number of records to return, up to `LIMIT_MAX`.
     pub limit: usize,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// Tells whether the record concerns a host in any role.
+/// Tells whether the record refers to the host as its process, upstream or other entry.
 fn concerns(record: &Record, host: &Name) -> bool {
     record.process.host == *host
         || record.upstream.as_ref() == Some(host)
--- a/crates/observe/src/timeline/merge.rs
+++ b/crates/observe/src/timeline/merge.rs
@@ -1,4 +1,4 @@
-//! Merge of the time lines of several processes into one causally consistent order.
+//! Merge of the time streams of several processes into one causally consistent order.
 
 use super::{
     Process,
@@ -18,41 +18,42 @@
     vec, //
 };
 
-/// Merges records of any processes, in any order and with repeats, into one order in which
+/// Merges records of several processes, which may come in any order and repeatedly, into one order in which
 ///
 /// - the records of a process keep their sequence;
-/// - the n-th arrival of a request at a process comes after the n-th record that forwarded it there;
-/// - the answer of the process that forwarded a request comes after all answers of those that it was forwarded to;
-/// - a record under configuration N comes after the record that published N on another process.
+/// - the n-th arrival of a request at a process comes after the n-th record that forwards it there;
+/// - the answer of a process that forwarded a request comes after all answers of the processes that it forwarded it to;
+/// - a record under configuration N comes after the record of another process that published N.
 ///
-/// Clocks decide only between records that none of these rules orders. A cause that is not among the records orders
-/// nothing. Every record is in the result: where the last two rules contradict the first two (a writer learns late
-/// that its append took effect), they give way.
+/// Clocks, which may be skewed, decide only between records that none of these rules order. A cause that is not among
+/// the records has no influence. The result contains every record once: where the last two rules contradict the first
+/// two, as when a writer learns late that its append took effect, the last two are ignored.
 pub fn merge(records: impl IntoIterator<Item = Record>) -> Vec<Record> {
     let mut merge = Merge::new(records);
     let mut merged = Vec::new();
-    while let Some(line) = merge.choose() {
-        merged.extend(merge.take(line));
+    while let Some(at) = merge.next_stream() {
+        merged.extend(merge.take(at));
     }
     merged
 }
 
-/// Records of one process that were not merged yet.
-struct Line {
+/// Records of one process, in sequence, that are not merged yet.
+struct Stream {
     process: Arc<Process>,
     rest: vec::IntoIter<Record>,
-    /// How often each request has arrived here.
+    /// Number of merged arrivals of each request at this process.
     arrivals: HashMap<request::Id, usize>,
 }
 
-/// A request at one of the lines.
+/// A request at the process of one stream.
 #[derive(Eq, Hash, PartialEq)]
-struct Visit {
+struct Hop {
     request: request::Id,
+    /// Index of the stream.
     at: usize,
 }
 
-/// How many records of some sort exist, and how many of them were merged.
+/// Total number of records of some sort, and the number of those merged so far.
 #[derive(Default)]
 struct Count {
     total: usize,
@@ -61,22 +62,25 @@
 
 /// State of a merge.
 struct Merge {
-    lines: Vec<Line>,
-    /// Forwardings by the line that they lead to.
-    forwards: HashMap<Visit, Count>,
-    /// Lines that forwarded a request.
-    senders: HashSet<Visit>,
-    /// Answers by the processes that a request was forwarded to.
+    streams: Vec<Stream>,
+    /// Records that forward a request, by the hop that they lead to.
+    forwards: HashMap<Hop, Count>,
+    /// Hops at which a request was forwarded.
+    forwarders: HashSet<Hop>,
+    /// Answers to a request by the processes that it was forwarded to.
     answers: HashMap<request::Id, Count>,
-    /// Lines that published a configuration which is not merged yet.
+    /// Index of the stream that holds the publication of each configuration, until that record is merged.
     unpublished: HashMap<u64, usize>,
 }
 
-/// How strictly the rules are applied.
+/// Ordering rules that a record has to meet to be merged next.
 #[derive(Clone, Copy)]
-enum Rule {
+enum Rules {
+    /// All rules of [`merge`].
     All,
-    Forwards,
+    /// Only the order within a process and that of forwards and arrivals.
+    ForwardsOnly,
+    /// Only the order within a process.
     None,
 }
 
@@ -84,18 +88,18 @@
     fn new(records: impl IntoIterator<Item = Record>) -> Self {
         let mut processes: BTreeMap<Arc<Process>, BTreeMap<u64, Record>> = BTreeMap::new();
         for record in records {
-            let line = processes.entry(Arc::clone(&record.process)).or_default();
-            line.insert(record.sequence, record);
+            let by_sequence = processes.entry(Arc::clone(&record.process)).or_default();
+            by_sequence.insert(record.sequence, record);
         }
-        let line = |(process, records): (_, BTreeMap<u64, Record>)| Line {
+        let stream = |(process, records): (_, BTreeMap<u64, Record>)| Stream {
             process,
             rest: records.into_values().collect::<Vec<_>>().into_iter(),
             arrivals: HashMap::new(),
         };
         let mut merge = Self {
-            lines: processes.into_iter().map(line).collect(),
+            streams: processes.into_iter().map(stream).collect(),
             forwards: HashMap::new(),
-            senders: HashSet::new(),
+            forwarders: HashSet::new(),
             answers: HashMap::new(),
             unpublished: HashMap::new(),
         };
@@ -103,32 +107,32 @@
         merge
     }
 
-    /// Finds all causes.
+    /// Counts the records that are causes of others.
     fn index(&mut self) {
-        for (from, line) in self.lines.iter().enumerate() {
-            for record in line.rest.as_slice() {
+        for (from, stream) in self.streams.iter().enumerate() {
+            for record in stream.rest.as_slice() {
                 if record.kind == Kind::ConfigurationPublished {
                     self.unpublished.entry(record.configuration).or_insert(from);
                 }
-                for visit in self.destinations(from, record) {
-                    let Visit { request, .. } = visit;
-                    self.senders.insert(Visit { request, at: from });
-                    self.forwards.entry(visit).or_default().total += 1;
+                for hop in self.destinations(from, record) {
+                    let Hop { request, .. } = hop;
+                    self.forwarders.insert(Hop { request, at: from });
+                    self.forwards.entry(hop).or_default().total += 1;
                 }
             }
         }
-        for (at, line) in self.lines.iter().enumerate() {
-            for record in line.rest.as_slice() {
-                if let Some(request) = self.relayed(at, record) {
+        for (at, stream) in self.streams.iter().enumerate() {
+            for record in stream.rest.as_slice() {
+                if let Some(request) = self.remote_answer(at, record) {
                     self.answers.entry(request).or_default().total += 1;
                 }
             }
         }
     }
 
-    /// Returns where a record forwards its request to: each incarnation of the named host, or any other process if
-    /// the name is unknown.
-    fn destinations(&self, from: usize, record: &Record) -> Vec<Visit> {
+    /// Returns the hops that a record may forward its request to: one for each incarnation of the named host, or for
+    /// every other process if the name is unknown.
+    fn destinations(&self, from: usize, record: &Record) -> Vec<Hop> {
         let Some(request) = record.request.filter(|_| record.kind == Kind::Forwarded) else {
             return Vec::new();
         };
@@ -138,69 +142,79 @@
                 .as_ref()
                 .is_none_or(|host| process.host == *host)
         };
-        let others = self.lines.iter().enumerate().filter(|(at, _)| *at != from);
+        let others = self
+            .streams
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| *at != from);
         others
-            .filter(|(_, line)| addressed(&line.process))
-            .map(|(at, _)| Visit { request, at })
+            .filter(|(_, stream)| addressed(&stream.process))
+            .map(|(at, _)| Hop { request, at })
             .collect()
     }
 
-    /// Returns the request if the record is its answer by a process that it was forwarded to.
-    fn relayed(&self, at: usize, record: &Record) -> Option<request::Id> {
+    /// Returns the id of the request if the record is an answer of a process that the request was forwarded to.
+    fn remote_answer(&self, at: usize, record: &Record) -> Option<request::Id> {
         let request = record.request.filter(|_| record.kind == Kind::Answered)?;
-        let visit = Visit { request, at };
-        self.forwards.contains_key(&visit).then_some(request)
+        let hop = Hop { request, at };
+        self.forwards.contains_key(&hop).then_some(request)
     }
 
-    /// Chooses the line whose next record comes next.
-    fn choose(&self) -> Option<usize> {
-        [Rule::All, Rule::Forwards, Rule::None]
+    /// Returns the index of the stream whose first record comes next in the merged order. Applies fewer rules if all of
+    /// them together allow no record.
+    fn next_stream(&self) -> Option<usize> {
+        [Rules::All, Rules::ForwardsOnly, Rules::None]
             .into_iter()
-            .find_map(|rule| self.earliest(rule))
+            .find_map(|rules| self.earliest(rules))
     }
 
-    /// Returns the line with the earliest next record among those that the rule lets pass.
-    fn earliest(&self, rule: Rule) -> Option<usize> {
-        let heads = self.lines.iter().enumerate();
+    /// Returns the index of the stream with the earliest first record among those that the rules allow.
+    fn earliest(&self, rules: Rules) -> Option<usize> {
+        let heads = self.streams.iter().enumerate();
         heads
-            .filter_map(|(at, line)| Some((at, line.rest.as_slice().first()?)))
-            .filter(|(at, record)| self.passes(rule, *at, record))
+            .filter_map(|(at, stream)| Some((at, stream.rest.as_slice().first()?)))
+            .filter(|(at, record)| self.allows(rules, *at, record))
             .min_by_key(|(at, record)| (record.time, *at))
             .map(|(at, _)| at)
     }
 
-    fn passes(&self, rule: Rule, at: usize, record: &Record) -> bool {
-        match rule {
-            Rule::All => {
-                self.forwarded(at, record)
-                    && self.answered(at, record)
-                    && self.published(at, record)
+    /// Tells whether the rules allow the record to be merged next.
+    fn allows(&self, rules: Rules, at: usize, record: &Record) -> bool {
+        match rules {
+            Rules::All => {
+                self.forwarding_merged(at, record)
+                    && self.answers_merged(at, record)
+                    && self.publication_merged(at, record)
             }
-            Rule::Forwards => self.forwarded(at, record),
-            Rule::None => true,
+            Rules::ForwardsOnly => self.forwarding_merged(at, record),
+            Rules::None => true,
         }
     }
 
-    /// Tells whether the forwarding that brought the request here was merged.
-    fn forwarded(&self, at: usize, record: &Record) -> bool {
+    /// Tells whether the record that forwarded the request here is merged.
+    fn forwarding_merged(&self, at: usize, record: &Record) -> bool {
         let Some(request) = record.request else {
             return true;
         };
-        let Some(forwards) = self.forwards.get(&Visit { request, at }) else {
+        let Some(forwards) = self.forwards.get(&Hop { request, at }) else {
             return true;
         };
-        let arrivals = self.lines[at].arrivals.get(&request).copied().unwrap_or(0);
+        let arrivals = self.streams[at]
+            .arrivals
+            .get(&request)
+            .copied()
+            .unwrap_or(0);
         let arrivals = arrivals + usize::from(record.kind == Kind::Arrived);
         forwards.merged >= arrivals.max(1).min(forwards.total)
     }
 
-    /// Tells whether the answer that this one passes on was merged. After a lost answer and a repeat, only the last
-    /// one can have been passed on.
-    fn answered(&self, at: usize, record: &Record) -> bool {
+    /// Tells whether all answers that this answer may pass on are merged. If an answer was lost and the request was
+    /// repeated, only the last answer can have been passed on.
+    fn answers_merged(&self, at: usize, record: &Record) -> bool {
         let Some(request) = record.request.filter(|_| record.kind == Kind::Answered) else {
             return true;
         };
-        if !self.senders.contains(&Visit { request, at }) {
+        if !self.forwarders.contains(&Hop { request, at }) {
             return true;
         }
         self.answers
@@ -208,22 +222,22 @@
             .is_none_or(|answers| answers.merged == answers.total)
     }
 
-    /// Tells whether the publication of the configuration was merged.
-    fn published(&self, at: usize, record: &Record) -> bool {
+    /// Tells whether the publication of the record's configuration is merged, or belongs to the same stream.
+    fn publication_merged(&self, at: usize, record: &Record) -> bool {
         let publisher = self.unpublished.get(&record.configuration);
         publisher.is_none_or(|publisher| *publisher == at)
     }
 
-    /// Takes the next record of a line.
+    /// Takes the first record of a stream and updates the counts.
     fn take(&mut self, at: usize) -> Option<Record> {
-        let record = self.lines[at].rest.next()?;
+        let record = self.streams[at].rest.next()?;
         if let Some(request) = record.request.filter(|_| record.kind == Kind::Arrived) {
-            *self.lines[at].arrivals.entry(request).or_default() += 1;
+            *self.streams[at].arrivals.entry(request).or_default() += 1;
         }
-        for visit in self.destinations(at, &record) {
-            self.forwards.entry(visit).or_default().merged += 1;
+        for hop in self.destinations(at, &record) {
+            self.forwards.entry(hop).or_default().merged += 1;
         }
-        if let Some(request) = self.relayed(at, &record) {
+        if let Some(request) = self.remote_answer(at, &record) {
             self.answers.entry(request).or_default().merged += 1;
         }
         if record.kind == Kind::ConfigurationPublished {
--- a/crates/observe/src/timeline/mod.rs
+++ b/crates/observe/src/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! What happened, in order, with names: one bounded time line for each process, and their merge.
+//! Time lines: the bounded, ordered records of each process, and the merge of several processes.
 
 mod filter;
 mod merge;
--- a/crates/observe/src/timeline/process.rs
+++ b/crates/observe/src/timeline/process.rs
@@ -3,12 +3,12 @@
 use core::fmt;
 use sassafrascrank_base::prelude::Name;
 
-/// Identifies an entry process over all hosts and restarts.
+/// Identifies an entry process across all hosts and restarts.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Process {
     /// Name of its host.
     pub host: Name,
-    /// Number that each start of the process makes anew.
+    /// Number that differs for each start of the process.
     pub incarnation: u64,
 }
 
--- a/crates/observe/src/timeline/record.rs
+++ b/crates/observe/src/timeline/record.rs
@@ -1,4 +1,4 @@
-//! One event with its names resolved.
+//! Record of an event, with names in place of keys.
 
 use super::Process;
 use crate::{
@@ -13,7 +13,7 @@
 use sassafrascrank_base::prelude::*;
 use std::sync::Arc;
 
-/// One event of one process, with names in place of keys.
+/// An event of one process, with names in place of keys.
 ///
 /// Its causal parents are the earlier events of the same `request` and the publication of `configuration`.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -22,7 +22,7 @@
     pub process: Arc<Process>,
     /// Position in the time line of that process, from 1.
     pub sequence: u64,
-    /// When it happened by the clock of that process.
+    /// When it happened, by the clock of that process.
     pub time: Time,
     /// What happened.
     pub kind: Kind,
@@ -44,12 +44,12 @@
     pub upstream: Option<Name>,
     /// Host of the other entry concerned.
     pub member: Option<Name>,
-    /// A number whose meaning follows from the kind.
+    /// A number whose meaning depends on the kind; see the variants of [`Kind`].
     pub detail: u64,
 }
 
 impl Record {
-    /// Resolves the keys of `event`; a key without a name stays out of the record.
+    /// Creates a record with the names of the keys in `event`. A key without a known name is left out.
     pub(super) fn new(
         process: Arc<Process>,
         sequence: u64,
@@ -77,14 +77,18 @@
 }
 
 /// Writes ` label=value` if there is a value.
-fn part(f: &mut fmt::Formatter<'_>, label: &str, value: Option<impl fmt::Display>) -> fmt::Result {
+fn write_part(
+    f: &mut fmt::Formatter<'_>,
+    label: &str,
+    value: Option<impl fmt::Display>,
+) -> fmt::Result {
     match value {
         Some(value) => write!(f, " {label}={value}"),
         None => Ok(()),
     }
 }
 
-/// One line: seconds since the Unix epoch, process, sequence, kind and the parts that are present.
+/// Writes one line: seconds since the Unix epoch, process, sequence, kind and the fields that are set.
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         const MICROS_PER_SECOND: u64 = 1_000_000;
@@ -98,14 +102,14 @@
             self.sequence,
             self.kind,
         )?;
-        part(f, "request", self.request)?;
-        part(f, "customer", self.customer.as_ref())?;
-        part(f, "class", self.class.map(|class| class.0))?;
-        part(f, "pool", self.pool.as_ref())?;
-        part(f, "upstream", self.upstream.as_ref())?;
-        part(f, "member", self.member.as_ref())?;
-        part(f, "outcome", self.outcome)?;
-        part(f, "reason", self.reason)?;
+        write_part(f, "request", self.request)?;
+        write_part(f, "customer", self.customer.as_ref())?;
+        write_part(f, "class", self.class.map(|class| class.0))?;
+        write_part(f, "pool", self.pool.as_ref())?;
+        write_part(f, "upstream", self.upstream.as_ref())?;
+        write_part(f, "member", self.member.as_ref())?;
+        write_part(f, "outcome", self.outcome)?;
+        write_part(f, "reason", self.reason)?;
         write!(
             f,
             " detail={} configuration={}",
--- a/crates/observe/src/timeline/timeline.rs
+++ b/crates/observe/src/timeline/timeline.rs
@@ -18,7 +18,7 @@
     sync::Arc, //
 };
 
-/// Number of records that a time line holds unless set otherwise: 8 MiB at `RECORD_BYTES_MAX`.
+/// Default capacity of a time line in records: 8 MiB at `RECORD_BYTES_MAX`.
 pub const CAPACITY_DEFAULT: usize = 65_536;
 /// Largest size of a record in bytes; its names are shared with the table of names.
 pub const RECORD_BYTES_MAX: usize = 128;
@@ -31,13 +31,15 @@
     process: Arc<Process>,
     records: VecDeque<Record>,
     capacity: usize,
+    /// Sequence of the newest record; 0 before the first.
     sequence: u64,
+    /// Offset of the configuration in force; 0 before the first.
     configuration: u64,
     overwritten: u64,
 }
 
 impl Timeline {
-    /// Makes an empty time line with room for `capacity` records, at least one.
+    /// Creates an empty time line with room for `capacity` records, at least one.
     pub fn new(process: Process, capacity: usize) -> Self {
         Self {
             process: Arc::new(process),
@@ -69,7 +71,7 @@
         record
     }
 
-    /// Returns the matching records in the order of their sequence.
+    /// Returns the matching records, sorted by sequence.
     pub fn query(&self, filter: &Filter) -> Vec<Record> {
         let limit = filter.limit.min(LIMIT_MAX);
         let matching = |record: &&Record| filter.matches(record);
@@ -88,7 +90,7 @@
         records
     }
 
-    /// Returns the process whose time line this is.
+    /// Returns the process that the time line belongs to.
     pub fn process(&self) -> &Process {
         &self.process
     }
@@ -103,7 +105,7 @@
         self.records.is_empty()
     }
 
-    /// Returns how many records were overwritten by newer ones.
+    /// Returns the number of records overwritten by newer ones.
     pub const fn overwritten(&self) -> u64 {
         self.overwritten
     }
--- a/crates/observe/src/timeline/wire.rs
+++ b/crates/observe/src/timeline/wire.rs
@@ -1,4 +1,4 @@
-//! JSON form of records, one object for each.
+//! JSON form of records.
 
 use super::Process;
 use crate::event::{
@@ -15,7 +15,7 @@
 };
 use std::sync::Arc;
 
-/// A record as it is sent to operators. Times are microseconds since the Unix epoch.
+/// A record as `/timeline` returns it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -26,7 +26,7 @@
     pub incarnation: u64,
     /// Position in the time line of that process.
     pub sequence: u64,
-    /// Microseconds since the Unix epoch by the clock of that process.
+    /// Microseconds since the Unix epoch, by the clock of that process.
     pub time: u64,
     /// Code of the kind.
     pub kind: String,
@@ -56,7 +56,7 @@
     /// Host of the other entry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
-    /// A number whose meaning follows from the kind.
+    /// A number whose meaning depends on the kind.
     pub detail: u64,
 }
 
@@ -102,7 +102,7 @@
     type Error = Error;
 
     fn try_from(wire: Record) -> Result<Self, Error> {
-        let host = checked("host", &wire.host)?;
+        let host = parse_name("host", &wire.host)?;
         let incarnation = wire.incarnation;
         let kind = Kind::from_code(&wire.kind).ok_or(Error::Code("kind", wire.kind))?;
         let request = wire
@@ -117,34 +117,34 @@
             reason: wire.reason.map(reason).transpose()?,
             request: request.transpose()?,
             configuration: wire.configuration,
-            customer: optional("customer", wire.customer)?,
+            customer: parse_optional_name("customer", wire.customer)?,
             class: wire.class.map(class::Index),
-            pool: optional("pool", wire.pool)?,
-            upstream: optional("upstream", wire.upstream)?,
-            member: optional("member", wire.member)?,
+            pool: parse_optional_name("pool", wire.pool)?,
+            upstream: parse_optional_name("upstream", wire.upstream)?,
+            member: parse_optional_name("member", wire.member)?,
             detail: wire.detail,
         })
     }
 }
 
-/// Checks a name.
-fn checked(field: &'static str, text: &str) -> Result<Name, Error> {
+/// Parses a name in the given field.
+fn parse_name(field: &'static str, text: &str) -> Result<Name, Error> {
     Name::new(text).map_err(|error| Error::Name(field, error))
 }
 
-/// Checks a name that may be absent.
-fn optional(field: &'static str, text: Option<String>) -> Result<Option<Name>, Error> {
-    text.map(|text| checked(field, &text)).transpose()
+/// Parses a name that may be absent.
+fn parse_optional_name(field: &'static str, text: Option<String>) -> Result<Option<Name>, Error> {
+    text.map(|text| parse_name(field, &text)).transpose()
 }
 
-/// Finds the outcome with this code.
+/// Returns the outcome with this code.
 fn outcome(code: String) -> Result<Outcome, Error> {
     let all = [Outcome::Answered, Outcome::NotRun, Outcome::Unknown];
     let found = all.into_iter().find(|outcome| outcome.as_str() == code);
     found.ok_or(Error::Code("outcome", code))
 }
 
-/// Finds the reason with this code.
+/// Returns the reason with this code.
 fn reason(code: String) -> Result<Reason, Error> {
     let found = Reason::ALL.iter().find(|reason| reason.as_str() == code);
     found.copied().ok_or(Error::Code("reason", code))
--- a/crates/trace/src/metrics.rs
+++ b/crates/trace/src/metrics.rs
@@ -79,8 +79,8 @@
         })
     }
 
-    /// Counts an event and records its duration if it has one. Event names and reasons come from fixed sets, which bounds
-    /// the number of time series.
+    /// Counts an event and records its duration if it has one. Event names and reasons come from fixed sets, which
+    /// bounds the number of time series.
     pub fn count(&self, event: &Event) {
         let name = KeyValue::new("event", event.name);
         let reason = KeyValue::new("reason", event.code().unwrap_or("none"));
