--- a/crates/observe/src/thread/mod.rs
+++ b/crates/observe/src/thread/mod.rs
@@ -1,10 +1,10 @@
-//! The observe thread.
+//! The observe thread: collects items from the rings and runs the observer and the admin endpoint.
 
-mod drain;
+mod collector;
 mod handle;
 mod start;
 
-pub use drain::Drain;
+pub use collector::Collector;
 pub use handle::Handle;
 pub use start::{
     Error,
