--- a/crates/daemon/src/clock/clock.rs
+++ b/crates/daemon/src/clock/clock.rs
@@ -1,4 +1,4 @@
-//! Time of day that never goes back.
+//! Monotonic wall-clock time.
 
 use sassafrascrank_base::time::Time;
 use std::{
@@ -12,14 +12,18 @@
     },
 };
 
-/// Latest time that was told.
-static LATEST: AtomicU64 = AtomicU64::new(0);
+/// Latest time that was returned, in microseconds since the Unix epoch.
+static LATEST_MICROS: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the present time; it stands still while the system's clock is set back.
+/// Returns the current time. After the system clock is set back, returns the latest time until the clock catches up.
 pub fn now() -> Time {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
-    Time::from_micros(LATEST.fetch_max(micros, Ordering::Relaxed).max(micros))
+    Time::from_micros(
+        LATEST_MICROS
+            .fetch_max(micros, Ordering::Relaxed)
+            .max(micros),
+    )
 }
--- a/crates/daemon/src/clock/mod.rs
+++ b/crates/daemon/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! The only place where a process reads the time.
+//! The clock of the process; all other code reads the time from here.
 
 mod clock;
 
--- a/crates/daemon/src/dispatch/dispatch.rs
+++ b/crates/daemon/src/dispatch/dispatch.rs
@@ -3,12 +3,12 @@
 use super::{
     Directive,
     Port,
-    journal::Journal,
     keyed::{
-        Keyed,
-        Verdict, //
+        Action,
+        KeyedRequests, //
     },
     port::Rings,
+    recorder::Recorder,
     status::status, //
 };
 use core::{
@@ -55,27 +55,27 @@
     timeout_at, //
 };
 
-/// Messages taken from one exchange thread before the others have their turn.
+/// Most messages taken from one exchange thread before the next thread is served.
 const BATCH_LIMIT: usize = 256;
-/// Time between two looks at parts of upstreams that are still growing.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which quotas of upstreams move towards the latest division, since added slots take effect with a delay.
+const QUOTA_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the dispatch thread starts with.
+/// Initial state of the dispatch thread.
 #[derive(Debug)]
 pub struct Setup {
     /// Engine without configuration.
     pub engine: Engine,
-    /// Lease of an entry that has not joined.
+    /// Lease of this entry, which has not joined yet.
     pub lease: Lease,
     /// Availability zone of this entry.
     pub zone: Name,
-    /// Bounds of the table of keyed requests.
+    /// Limits of the table of keyed requests.
     pub table: table::Limit,
-    /// Listener for other entries, for the membership record.
+    /// Address of the listener for other entries, written to this entry's membership record.
     pub address: SocketAddr,
-    /// Ends of all rings.
+    /// This thread's ends of all rings.
     pub port: Port,
-    /// Tells the present time.
+    /// Returns the current time.
     pub clock: fn() -> Time,
 }
 
@@ -83,44 +83,44 @@
 #[derive(Debug)]
 pub struct Dispatch {
     pub(super) engine: Engine,
-    pub(super) keyed: Keyed,
+    pub(super) keyed: KeyedRequests,
     pub(super) address: SocketAddr,
-    pub(super) journal: Journal,
+    pub(super) recorder: Recorder,
     pub(super) snapshot: Arc<Snapshot>,
     pub(super) port: Rings,
     clock: fn() -> Time,
     decisions: Vec<Decision>,
-    next_division: Time,
-    next_follow: Time,
-    /// Whether this entry leaves as planned.
+    next_report: Time,
+    next_quota_update: Time,
+    /// Whether this entry is leaving the membership for a graceful shutdown.
     pub(super) leaving: bool,
-    /// Whether outcomes have to be handed over once the departure is read back.
+    /// Whether outcomes must be handed over once this entry has read its departure back from the log.
     pub(super) handing_over: bool,
 }
 
 impl Dispatch {
-    /// Makes the state; all rings must wake the signal of the port.
+    /// Creates the state; all rings must wake the port's signal.
     pub fn new(setup: Setup) -> Self {
         // The settings bound the number of threads far below 256.
-        let threads = u8::try_from(setup.port.lanes.len()).unwrap_or(u8::MAX);
+        let threads = u8::try_from(setup.port.channels.len()).unwrap_or(u8::MAX);
         let (port, sink) = setup.port.split();
         Self {
             engine: setup.engine,
-            keyed: Keyed::new(setup.lease, setup.zone, setup.table, threads),
+            keyed: KeyedRequests::new(setup.lease, setup.zone, setup.table, threads),
             address: setup.address,
-            journal: Journal::new(sink, threads),
+            recorder: Recorder::new(sink, threads),
             snapshot: Arc::default(),
             port,
             clock: setup.clock,
             decisions: Vec::new(),
-            next_division: Time::MIN,
-            next_follow: Time::MIN,
+            next_report: Time::MIN,
+            next_quota_update: Time::MIN,
             leaving: false,
             handing_over: false,
         }
     }
 
-    /// Decides until a control thread stops it.
+    /// Processes messages and directives until a `Directive::Stop` arrives.
     pub async fn run(mut self) {
         loop {
             let now = (self.clock)();
@@ -137,28 +137,28 @@
 
     async fn wait(&self, now: Time) {
         let wakeup = self.engine.next_wakeup().unwrap_or(Time::MAX);
-        let wakeup = wakeup.min(self.next_division).min(self.next_follow);
+        let wakeup = wakeup.min(self.next_report).min(self.next_quota_update);
         let deadline = Instant::now() + wakeup.since(now);
-        // Both a message and the end of the wait lead to the next round.
+        // The next iteration handles both a message and an expired timeout.
         let wait = self.port.signal.wait(|| self.port.is_ready());
         timeout_at(deadline, wait).await.ok();
     }
 
     fn tick(&mut self, now: Time) {
-        if now >= self.next_follow {
+        if now >= self.next_quota_update {
             self.engine.follow_targets(now);
-            self.next_follow = now + FOLLOW_INTERVAL;
+            self.next_quota_update = now + QUOTA_INTERVAL;
         }
-        if now < self.next_division {
+        if now < self.next_report {
             return;
         }
-        self.next_division = now + REPORT_INTERVAL;
-        self.report(now);
+        self.next_report = now + REPORT_INTERVAL;
+        self.prepare_reports(now);
         self.engine.divide(now);
         self.keyed.lease.tick(now);
         self.keyed.expire(now);
         let update = Update::Engine(status(&self.engine, &self.snapshot));
-        // The next update follows in a second.
+        // An update that does not fit is dropped; the next one follows within a second.
         self.port.updates.send(update).ok();
     }
 
@@ -177,7 +177,7 @@
     fn configure(&mut self, now: Time, snapshot: Arc<Snapshot>) {
         if snapshot.version != self.snapshot.version {
             let event = Event::new(now, Kind::ConfigurationInForce).detail(snapshot.version);
-            self.journal.record(event);
+            self.recorder.record(event);
         }
         self.engine.apply(now, &snapshot, &mut self.decisions);
         if snapshot.complete && !self.snapshot.complete {
@@ -188,14 +188,14 @@
 
     fn record_drain(&mut self, now: Time) {
         let pending = u64::try_from(self.engine.pending()).unwrap_or(u64::MAX);
-        self.journal
+        self.recorder
             .record(Event::new(now, Kind::ShutdownBegun).detail(pending));
     }
 
     fn take_messages(&mut self, now: Time) {
-        for index in 0..self.port.lanes.len() {
+        for index in 0..self.port.channels.len() {
             for _ in 0..BATCH_LIMIT {
-                let Some(message) = self.port.lanes[index].messages.try_recv() else {
+                let Some(message) = self.port.channels[index].messages.try_recv() else {
                     break;
                 };
                 self.take_message(now, message);
@@ -216,29 +216,30 @@
                 answer,
             } => self.finish(now, caller, result, answer),
             Message::Cancel { caller } => {
-                self.journal.cancelled(now, caller);
-                self.keyed.refused(now, caller, Outcome::Unknown);
+                self.recorder.cancelled(now, caller);
+                self.keyed
+                    .finish_without_answer(now, caller, Outcome::Unknown);
                 self.engine.cancel(now, caller);
             }
             Message::Draining { upstream, source } => {
                 if self.drain_upstream(now, upstream, source) {
-                    self.spread_sign(upstream);
+                    self.announce_drain(upstream);
                 }
             }
         }
     }
 
-    /// Stops new work for an upstream that is leaving; tells whether this is the first sign.
+    /// Stops new work for an upstream that is draining; returns whether it was not draining before.
     pub(super) fn drain_upstream(
         &mut self,
         now: Time,
         upstream: upstream::Key,
-        sign: DrainSource,
+        source: DrainSource,
     ) -> bool {
-        let first = self.engine.drain_upstream(now, upstream, sign);
+        let first = self.engine.drain_upstream(now, upstream, source);
         if first {
             let event = Event::new(now, Kind::UpstreamDraining).upstream(upstream);
-            self.journal.record(event);
+            self.recorder.record(event);
         }
         first
     }
@@ -250,15 +251,15 @@
         arrival: Arrival,
         idempotency: Option<&Idempotency>,
     ) {
-        self.journal.arrived(now, id, &arrival);
+        self.recorder.arrived(now, id, &arrival);
         let caller = arrival.caller;
         if let Some(idempotency) = idempotency {
             match self.keyed.arrive(now, caller, idempotency) {
-                Verdict::Run => {}
-                Verdict::Wait => return,
-                Verdict::Replay(answer) => return self.replay(now, caller, answer),
-                Verdict::Redirect(address) => return self.redirect(now, caller, address),
-                Verdict::Refuse(refusal) => {
+                Action::Run => {}
+                Action::Wait => return,
+                Action::Replay(answer) => return self.replay(now, caller, answer),
+                Action::Forward(address) => return self.forward(now, caller, address),
+                Action::Refuse(refusal) => {
                     self.decisions.push(Decision::Refuse { caller, refusal });
                     return;
                 }
@@ -273,35 +274,38 @@
         &mut self,
         now: Time,
         caller: caller::Handle,
-        report: AttemptResult,
+        result: AttemptResult,
         answer: Option<Arc<Answer>>,
     ) {
-        self.journal.finished(now, caller, report);
+        self.recorder.finished(now, caller, result);
         if let Some(answer) = answer {
-            for repeat in self.keyed.answered(now, caller, answer.clone()) {
+            for repeat in self.keyed.finish_with_answer(now, caller, answer.clone()) {
                 self.replay(now, repeat, answer.clone());
             }
         }
-        self.engine.finish(now, caller, report);
+        self.engine.finish(now, caller, result);
     }
 
     fn replay(&mut self, now: Time, caller: caller::Handle, answer: Arc<Answer>) {
-        self.journal.replayed(now, caller);
+        self.recorder.replayed(now, caller);
         self.port.reply(Reply::Replay { caller, answer });
     }
 
-    fn redirect(&mut self, now: Time, caller: caller::Handle, address: SocketAddr) {
-        self.journal.forwarded(now, caller);
+    fn forward(&mut self, now: Time, caller: caller::Handle, address: SocketAddr) {
+        self.recorder.forwarded(now, caller);
         self.port.reply(Reply::ForwardToOwner { caller, address });
     }
 
     fn send_decisions(&mut self, now: Time) {
         let mut decisions = core::mem::take(&mut self.decisions);
         for decision in decisions.drain(..) {
-            self.journal.decided(now, &decision);
+            self.recorder.decided(now, &decision);
             if let Decision::Refuse { caller, refusal } = decision {
-                for caller in self.keyed.refused(now, caller, refusal.outcome) {
-                    self.journal.refused(now, caller, &refusal);
+                for caller in self
+                    .keyed
+                    .finish_without_answer(now, caller, refusal.outcome)
+                {
+                    self.recorder.refused(now, caller, &refusal);
                     self.port.reply(Reply::Refuse { caller, refusal });
                 }
             }
--- a/crates/daemon/src/dispatch/keyed.rs
+++ b/crates/daemon/src/dispatch/keyed.rs
@@ -1,8 +1,9 @@
-//! Requests that may run only once: who runs them, who waits, what is remembered.
+//! Requests with an idempotency key, each of which may run only once: running requests, waiting callers and stored
+//! answers.
 
 use crate::peer::{
-    kept,
-    stored, //
+    from_stored,
+    to_stored, //
 };
 use core::net::SocketAddr;
 use sassafrascrank_base::prelude::*;
@@ -43,14 +44,14 @@
 
 /// Table of keyed requests and the callers that wait for a running one.
 #[derive(Debug)]
-pub(super) struct Keyed {
+pub(super) struct KeyedRequests {
     pub(super) lease: Lease,
     zone: Name,
-    table: Table<Kept>,
+    table: Table<StoredAnswer>,
     runs: SlotMap<ticket::Key, Run>,
-    /// Runs by the caller that started them, by exchange thread.
-    owners: Vec<SecondaryMap<caller::Key, ticket::Key>>,
-    /// Listeners for callers of the other entries, as they reported them.
+    /// Tickets of running requests by the caller that started them; one map for each exchange thread.
+    tickets: Vec<SecondaryMap<caller::Key, ticket::Key>>,
+    /// Addresses at which the other entries listen for callers, as they reported them.
     listeners: BTreeMap<Entry, SocketAddr>,
 }
 
@@ -58,15 +59,15 @@
 #[derive(Debug, Default)]
 struct Run {
     slot: Slot,
-    /// Callers that repeated its key; each has a place in the arena of its exchange thread, which bounds them.
+    /// Callers that repeated its key. The arenas of the exchange threads bound their number.
     repeats: Vec<caller::Handle>,
 }
 
-/// An answer that is kept for repeats.
+/// An answer that is stored for repeats of its request.
 #[derive(Clone, Debug)]
-pub(super) struct Kept(pub(super) Arc<Answer>);
+pub(super) struct StoredAnswer(pub(super) Arc<Answer>);
 
-impl Size for Kept {
+impl Size for StoredAnswer {
     fn size(&self) -> usize {
         self.0.size()
     }
@@ -74,35 +75,35 @@
 
 /// What to do with a keyed request that has arrived.
 #[derive(Debug)]
-pub(super) enum Verdict {
-    /// Run it.
+pub(super) enum Action {
+    /// Run the request.
     Run,
-    /// Leave it waiting for the request that runs with its key.
+    /// Let the caller wait for the running request with the same key.
     Wait,
-    /// Give it the answer of an earlier request.
+    /// Return the answer of an earlier request with the same key.
     Replay(Arc<Answer>),
-    /// Pass it on to the entry that owns its key.
-    Redirect(SocketAddr),
-    /// Refuse it.
+    /// Forward the request to the entry that owns its key.
+    Forward(SocketAddr),
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-impl Keyed {
+impl KeyedRequests {
     pub(super) fn new(lease: Lease, zone: Name, limit: Limit, threads: u8) -> Self {
         Self {
             lease,
             zone,
             table: Table::new(limit),
             runs: SlotMap::with_key(),
-            owners: (0..threads).map(|_| SecondaryMap::new()).collect(),
+            tickets: (0..threads).map(|_| SecondaryMap::new()).collect(),
             listeners: BTreeMap::new(),
         }
     }
 
-    /// Makes a new lease after this entry was retired while it was alive, and returns its new identity.
+    /// Replaces the lease after peers retired this entry while it was alive, and returns its new identity.
     ///
-    /// What the table remembers stays true; the new lease decides on keys that it does not remember.
-    pub(super) fn renew(&mut self, now: Time) -> Entry {
+    /// Outcomes in the table stay valid; the new lease decides on keys that the table does not hold.
+    pub(super) fn renew_lease(&mut self, now: Time) -> Entry {
         let former = self.lease.me();
         let entry = Entry {
             host: former.host.clone(),
@@ -115,13 +116,13 @@
         entry
     }
 
-    /// Decides on a keyed request.
+    /// Decides what to do with a keyed request.
     pub(super) fn arrive(
         &mut self,
         now: Time,
         caller: caller::Handle,
         request: &Idempotency,
-    ) -> Verdict {
+    ) -> Action {
         let key = &request.key;
         let known = self.table.contains(key.id());
         if !known
@@ -129,8 +130,8 @@
             && let Route::Forward(owner) = self.lease.route(key)
         {
             return match self.listeners.get(owner) {
-                Some(address) => Verdict::Redirect(*address),
-                None => Verdict::Refuse(Refusal::unknown(Reason::OwnerUnreachable)),
+                Some(address) => Action::Forward(*address),
+                None => Action::Refuse(Refusal::unknown(Reason::OwnerUnreachable)),
             };
         }
         let ticket = self.runs.insert(Run::default());
@@ -139,43 +140,43 @@
         let permit = || lease.permit(now, key);
         let begin = self.table.begin(now, key.id(), fingerprint, ticket, permit);
         if let Admission::Run(slot) = begin {
-            self.start(ticket, slot, caller);
-            return Verdict::Run;
+            self.start_run(ticket, slot, caller);
+            return Action::Run;
         }
         self.runs.remove(ticket);
         match begin {
-            Admission::Wait(ticket) => self.wait(ticket, caller),
+            Admission::Wait(ticket) => self.wait_for_run(ticket, caller),
             Admission::Replay(slot) => match self.table.answer(slot) {
-                Some(answer) => Verdict::Replay(answer.0.clone()),
-                None => Verdict::Refuse(Refusal::unknown(Reason::ConnectionLost)),
+                Some(answer) => Action::Replay(answer.0.clone()),
+                None => Action::Refuse(Refusal::unknown(Reason::ConnectionLost)),
             },
-            Admission::Run(_) => Verdict::Run,
-            Admission::Refuse(refusal) => Verdict::Refuse(refusal),
+            Admission::Run(_) => Action::Run,
+            Admission::Refuse(refusal) => Action::Refuse(refusal),
         }
     }
 
     /// Stores the answer of a request; returns the callers that wait for it.
-    pub(super) fn answered(
+    pub(super) fn finish_with_answer(
         &mut self,
         now: Time,
         caller: caller::Handle,
         answer: Arc<Answer>,
     ) -> Vec<caller::Handle> {
-        let Some(run) = self.end(caller) else {
+        let Some(run) = self.remove_run(caller) else {
             return Vec::new();
         };
-        self.table.finish(now, run.slot, Kept(answer));
+        self.table.finish(now, run.slot, StoredAnswer(answer));
         run.repeats
     }
 
-    /// Takes note that a request ended without an answer; returns the callers that wait for it.
-    pub(super) fn refused(
+    /// Records that a request ended without an answer; returns the callers that wait for it.
+    pub(super) fn finish_without_answer(
         &mut self,
         now: Time,
         caller: caller::Handle,
         outcome: Outcome,
     ) -> Vec<caller::Handle> {
-        let Some(run) = self.end(caller) else {
+        let Some(run) = self.remove_run(caller) else {
             return Vec::new();
         };
         match outcome {
@@ -185,13 +186,13 @@
         run.repeats
     }
 
-    /// Returns what `to` needs to know of the keys that moved to it, if this entry owes it anything.
+    /// Returns the outcomes of keys that moved to the entry `to`, or `None` if there are none to hand over.
     pub(super) fn export(&self, to: &Entry) -> Option<Handover> {
         let handover = self.table.export(&self.lease, to)?;
         let items = handover.items.into_iter().map(|item| table::Item {
             id: item.id,
             fingerprint: item.fingerprint,
-            state: convert(item.state, |kept| stored(&kept.0)),
+            state: map_answer(item.state, |answer| to_stored(&answer.0)),
         });
         Some(table::Handover {
             from: handover.from,
@@ -202,12 +203,18 @@
         })
     }
 
-    /// Takes over the outcomes of keys that moved to this entry.
+    /// Adds the outcomes of keys that moved to this entry.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the table rejects the handover.
     pub(super) fn accept(&mut self, now: Time, handover: Handover) -> Result<(), table::Error> {
         let items = handover.items.into_iter().map(|item| table::Item {
             id: item.id,
             fingerprint: item.fingerprint,
-            state: convert(item.state, |stored| Kept(Arc::new(kept(stored)))),
+            state: map_answer(item.state, |stored| {
+                StoredAnswer(Arc::new(from_stored(stored)))
+            }),
         });
         let handover = table::Handover {
             from: handover.from,
@@ -219,50 +226,50 @@
         self.table.accept(now, &mut self.lease, handover).map(drop)
     }
 
-    /// Takes note of where another entry listens for callers.
-    pub(super) fn learn_listener(&mut self, entry: Entry, address: SocketAddr) {
+    /// Stores the address at which another entry listens for callers.
+    pub(super) fn set_listener(&mut self, entry: Entry, address: SocketAddr) {
         self.listeners.insert(entry, address);
     }
 
-    /// Forgets the listeners of entries that are no longer members.
-    pub(super) fn forget_listeners(&mut self) {
+    /// Removes the listeners of entries that are no longer members.
+    pub(super) fn remove_stale_listeners(&mut self) {
         let view = self.lease.view();
         self.listeners
             .retain(|entry, _| view.zone_of(entry).is_some());
     }
 
-    /// Drops outcomes whose time is over.
+    /// Drops outcomes that have expired.
     pub(super) fn expire(&mut self, now: Time) {
         self.table.expire(now);
     }
 
-    fn start(&mut self, ticket: ticket::Key, slot: Slot, caller: caller::Handle) {
+    fn start_run(&mut self, ticket: ticket::Key, slot: Slot, caller: caller::Handle) {
         if let Some(run) = self.runs.get_mut(ticket) {
             run.slot = slot;
         }
-        if let Some(owners) = self.owners.get_mut(usize::from(caller.thread)) {
-            owners.insert(caller.key, ticket);
+        if let Some(tickets) = self.tickets.get_mut(usize::from(caller.thread)) {
+            tickets.insert(caller.key, ticket);
         }
     }
 
-    fn wait(&mut self, ticket: ticket::Key, caller: caller::Handle) -> Verdict {
+    fn wait_for_run(&mut self, ticket: ticket::Key, caller: caller::Handle) -> Action {
         match self.runs.get_mut(ticket) {
             Some(run) => {
                 run.repeats.push(caller);
-                Verdict::Wait
+                Action::Wait
             }
-            None => Verdict::Refuse(Refusal::unknown(Reason::ConnectionLost)),
+            None => Action::Refuse(Refusal::unknown(Reason::ConnectionLost)),
         }
     }
 
-    fn end(&mut self, caller: caller::Handle) -> Option<Run> {
-        let owners = self.owners.get_mut(usize::from(caller.thread))?;
-        let ticket = owners.remove(caller.key)?;
+    fn remove_run(&mut self, caller: caller::Handle) -> Option<Run> {
+        let tickets = self.tickets.get_mut(usize::from(caller.thread))?;
+        let ticket = tickets.remove(caller.key)?;
         self.runs.remove(ticket)
     }
 }
 
-fn convert<A, B>(state: RequestState<A>, answer: impl FnOnce(A) -> B) -> RequestState<B> {
+fn map_answer<A, B>(state: RequestState<A>, answer: impl FnOnce(A) -> B) -> RequestState<B> {
     match state {
         RequestState::Running(ticket) => RequestState::Running(ticket),
         RequestState::Answered(it) => RequestState::Answered(answer(it)),
--- a/crates/daemon/src/dispatch/mod.rs
+++ b/crates/daemon/src/dispatch/mod.rs
@@ -1,10 +1,10 @@
 //! The dispatch thread, which owns the engine and the table of keyed requests.
 
 mod dispatch;
-mod journal;
 mod keyed;
 mod peering;
 mod port;
+mod recorder;
 mod status;
 
 pub use dispatch::{
@@ -12,7 +12,7 @@
     Setup, //
 };
 pub use port::{
+    Channel,
     Directive,
-    Lane,
     Port, //
 };
--- a/crates/daemon/src/dispatch/peering.rs
+++ b/crates/daemon/src/dispatch/peering.rs
@@ -1,12 +1,12 @@
-//! Membership, reports of peers and handover of outcomes.
+//! Membership, reports from peers and handover of outcomes, on the dispatch thread.
 
 use super::{
     Directive,
     dispatch::Dispatch, //
 };
 use crate::peer::{
-    Heard,
-    Notice, //
+    Notice,
+    PeerReport, //
 };
 use sassafrascrank_base::{
     hash,
@@ -31,51 +31,54 @@
     Kind, //
 };
 use sassafrascrank_peer::message::{
-    Demand as Reported,
+    Demand as ReportedDemand,
     Handover,
-    Sign as Leaving,
+    Sign as DrainNotice,
     Tag, //
 };
 use sassafrascrank_route::DrainSource;
 
-/// Rest of the lease below which the peers are asked to confirm the view, since the log has not for 2 s.
-const ASK_BELOW: Duration = Duration::from_secs(3);
+/// Remaining lease time below which peers are asked to confirm the view. A lease of 5 s gets there when the log has not
+/// confirmed the view for 2 s.
+const CONFIRMATION_THRESHOLD: Duration = Duration::from_secs(3);
 
 impl Dispatch {
-    pub(super) fn take_members(&mut self, now: Time, read: Time, records: &[(u64, Record)]) {
+    pub(super) fn apply_members(&mut self, now: Time, read: Time, records: &[(u64, Record)]) {
         for (offset, record) in records {
-            // A gap can't arise: the platform thread reads the stream without leaving a record out.
+            // There is no gap in the offsets, because the platform thread sends every record of the stream.
             let effect = self.keyed.lease.apply(read, *offset, record);
             match effect {
-                Ok(Effect::Joined(entry, zone)) => self.note_join(now, *offset, entry, &zone),
-                Ok(Effect::Departed(entry, _)) => self.note_departure(now, *offset, &entry, record),
+                Ok(Effect::Joined(entry, zone)) => self.record_join(now, *offset, entry, &zone),
+                Ok(Effect::Departed(entry, _)) => {
+                    self.record_departure(now, *offset, &entry, record)
+                }
                 Ok(Effect::Repeat | Effect::Ignored) | Err(_) => {}
             }
         }
-        self.keyed.forget_listeners();
+        self.keyed.remove_stale_listeners();
         self.hand_over_if_departed(now);
         self.rejoin_if_retired(now);
     }
 
-    pub(super) fn import(&mut self, now: Time, view: &View) {
+    pub(super) fn import_view(&mut self, now: Time, view: &View) {
         self.keyed.lease.import(now, view.clone());
-        self.keyed.forget_listeners();
+        self.keyed.remove_stale_listeners();
         self.rejoin_if_retired(now);
     }
 
-    /// Joins again as another incarnation after others retired this entry while it was paused or cut off.
+    /// Joins again as a new incarnation after peers retired this entry while it was paused or disconnected.
     fn rejoin_if_retired(&mut self, now: Time) {
         if self.leaving || self.keyed.lease.state() != State::Departed {
             return;
         }
-        let entry = self.keyed.renew(now);
+        let entry = self.keyed.renew_lease(now);
         self.engine
             .set_identity(hash::identity(&entry.host, entry.incarnation));
-        self.notify(Notice::Rename(entry));
+        self.notify(Notice::NewIncarnation(entry));
     }
 
-    /// Extends the lease, and joins when the stream has been read for the first time.
-    pub(super) fn confirm(&mut self, start: Time, end: u64) {
+    /// Extends the lease; joins if this entry has not joined yet and the stream has now been read to its end.
+    pub(super) fn confirm_view(&mut self, start: Time, end: u64) {
         self.keyed.lease.confirm(start, end);
         if self.keyed.lease.state() == State::Outside
             && let Ok(record) = self.keyed.lease.join(self.address)
@@ -94,38 +97,38 @@
     pub(super) fn retire(&mut self, entry: Entry) {
         match self.keyed.lease.retire(entry.clone()) {
             Ok(record) => self.append(record),
-            Err(_) => self.notify(Notice::Postpone(entry)),
+            Err(_) => self.notify(Notice::PostponeRetirement(entry)),
         }
     }
 
-    /// Takes what another entry reported.
-    pub(super) fn hear(&mut self, now: Time, heard: Heard) {
-        self.hear_demand(now, &heard);
-        let entry = heard.entry;
-        if let Some(request) = &heard.request
+    /// Applies a report of another entry.
+    pub(super) fn apply_report(&mut self, now: Time, report: PeerReport) {
+        self.apply_demand(now, &report);
+        let entry = report.entry;
+        if let Some(request) = &report.request
             && let Some(answer) = self.keyed.lease.answer(request)
         {
-            self.notify(Notice::Answer(entry.clone(), answer));
+            self.notify(Notice::Confirmation(entry.clone(), answer));
         }
-        if let Some(answer) = &heard.answer {
+        if let Some(answer) = &report.answer {
             self.keyed.lease.record_answer(answer);
         }
-        if let Some(witness) = &heard.witness {
-            self.keyed.lease.accept_join_ack(now, witness);
+        if let Some(join_ack) = &report.join_ack {
+            self.keyed.lease.accept_join_ack(now, join_ack);
         }
-        if heard.joining
-            && let Some(witness) = self.keyed.lease.acknowledge_join(&entry)
+        if report.joining
+            && let Some(join_ack) = self.keyed.lease.acknowledge_join(&entry)
         {
-            self.notify(Notice::Testimony(witness));
+            self.notify(Notice::JoinAck(join_ack));
         }
-        for sign in &heard.signs {
-            self.hear_sign(now, sign);
+        for notice in &report.drain_notices {
+            self.apply_drain_notice(now, notice);
         }
-        self.keyed.learn_listener(entry, heard.callers);
+        self.keyed.set_listener(entry, report.callers);
     }
 
-    /// Tells the peer thread what the next reports carry.
-    pub(super) fn report(&mut self, now: Time) {
+    /// Sends the content of the next reports to the peer thread.
+    pub(super) fn prepare_reports(&mut self, now: Time) {
         let pools = &self.snapshot.pools;
         let demands = self
             .engine
@@ -133,7 +136,7 @@
             .into_iter()
             .filter_map(|demand| {
                 let pool = pools.iter().find(|pool| pool.key == demand.pool)?;
-                Some(Reported {
+                Some(ReportedDemand {
                     pool: Tag::of(&pool.name),
                     slots: demand.millislots,
                     spill: demand.spill_millislots,
@@ -142,14 +145,14 @@
         let demands = demands.collect();
         let joining = matches!(self.keyed.lease.state(), State::Joining(_));
         self.notify(Notice::Demand { demands, joining });
-        if self.keyed.lease.horizon() < now + ASK_BELOW {
+        if self.keyed.lease.horizon() < now + CONFIRMATION_THRESHOLD {
             let requests = self.keyed.lease.request_confirmations(now);
-            self.notify(Notice::Requests(requests));
+            self.notify(Notice::ConfirmationRequests(requests));
         }
     }
 
-    /// Returns demands with the keys of pools in place of their tags.
-    fn resolve(&self, demands: &[Reported]) -> Vec<Demand> {
+    /// Replaces the tags of pools by their keys; leaves out demands for unknown pools.
+    fn resolve_pools(&self, demands: &[ReportedDemand]) -> Vec<Demand> {
         let pools = &self.snapshot.pools;
         let demands = demands.iter().filter_map(|demand| {
             let pool = pools
@@ -165,33 +168,33 @@
     }
 
     /// Accepts outcomes of keys that moved to this entry.
-    pub(super) fn accept(&mut self, now: Time, number: u64, handover: Handover) {
+    pub(super) fn accept_handover(&mut self, now: Time, number: u64, handover: Handover) {
         let result = self.keyed.accept(now, handover);
-        self.notify(Notice::Accepted(
+        self.notify(Notice::HandoverResult(
             number,
             result.map_err(|error| error.to_string()),
         ));
     }
 
-    /// Hands outcomes over as soon as the departure has been read back.
+    /// Hands outcomes over as soon as this entry has read its departure back from the log.
     pub(super) fn hand_over(&mut self, now: Time) {
         self.handing_over = true;
         self.hand_over_if_departed(now);
     }
 
-    /// Tells the peers about an upstream that is leaving.
-    pub(super) fn spread_sign(&mut self, upstream: upstream::Key) {
+    /// Tells the peers that an upstream is draining.
+    pub(super) fn announce_drain(&mut self, upstream: upstream::Key) {
         let entry = self
             .snapshot
             .upstreams
             .iter()
             .find(|entry| entry.key == upstream);
         if let Some(entry) = entry {
-            let sign = Leaving {
+            let drain_notice = DrainNotice {
                 host: entry.host.clone(),
                 incarnation: entry.incarnation,
             };
-            self.notify(Notice::Leaving(sign));
+            self.notify(Notice::UpstreamDraining(drain_notice));
         }
     }
 
@@ -202,20 +205,20 @@
         self.handing_over = false;
         let view = self.keyed.lease.view().clone();
         let members = view.zones.values().flat_map(|zone| &zone.members);
-        let mut handed = 0;
+        let mut handed_over = 0;
         for member in members {
             if let Some(handover) = self.keyed.export(&member.entry) {
-                handed += handover.items.len() as u64;
+                handed_over += handover.items.len() as u64;
                 self.notify(Notice::HandOver(Box::new(handover), member.address));
             }
         }
-        let event = Event::new(now, Kind::ShutdownHandedOver).detail(handed);
-        self.journal.record(event);
+        let event = Event::new(now, Kind::ShutdownHandedOver).detail(handed_over);
+        self.recorder.record(event);
         self.notify(Notice::Stop);
     }
 
-    fn note_join(&mut self, now: Time, offset: u64, entry: Entry, zone: &Name) {
-        self.journal
+    fn record_join(&mut self, now: Time, offset: u64, entry: Entry, zone: &Name) {
+        self.recorder
             .record(Event::new(now, Kind::MemberJoined).detail(offset));
         let zones = &self.snapshot.zones;
         if let Some((_, key)) = zones.iter().find(|(name, _)| name == zone) {
@@ -236,24 +239,24 @@
         }
     }
 
-    fn note_departure(&mut self, now: Time, offset: u64, entry: &Entry, record: &Record) {
+    fn record_departure(&mut self, now: Time, offset: u64, entry: &Entry, record: &Record) {
         let kind = match record.change {
             Change::Retire { .. } => Kind::MemberRetired,
             Change::Join { .. } | Change::Leave { .. } => Kind::MemberLeft,
         };
-        self.journal.record(Event::new(now, kind).detail(offset));
+        self.recorder.record(Event::new(now, kind).detail(offset));
         self.engine
             .remove_peer(hash::identity(&entry.host, entry.incarnation));
     }
 
-    fn hear_demand(&mut self, now: Time, heard: &Heard) {
+    fn apply_demand(&mut self, now: Time, report: &PeerReport) {
         let zones = &self.snapshot.zones;
-        let Some((_, zone)) = zones.iter().find(|(name, _)| *name == heard.zone) else {
+        let Some((_, zone)) = zones.iter().find(|(name, _)| *name == report.zone) else {
             return;
         };
-        let demands = self.resolve(&heard.demands);
+        let demands = self.resolve_pools(&report.demands);
         let peer = Peer {
-            id: hash::identity(&heard.entry.host, heard.entry.incarnation),
+            id: hash::identity(&report.entry.host, report.entry.incarnation),
             availability_zone: *zone,
             last_report: now,
             demands,
@@ -261,9 +264,9 @@
         self.engine.update_peer(peer);
     }
 
-    fn hear_sign(&mut self, now: Time, sign: &Leaving) {
+    fn apply_drain_notice(&mut self, now: Time, notice: &DrainNotice) {
         let found = self.snapshot.upstreams.iter().find(|upstream| {
-            upstream.host == sign.host && upstream.incarnation == sign.incarnation
+            upstream.host == notice.host && upstream.incarnation == notice.incarnation
         });
         if let Some(key) = found.map(|upstream| upstream.key) {
             self.drain_upstream(now, key, DrainSource::Peer);
@@ -271,32 +274,35 @@
     }
 
     fn append(&mut self, record: Record) {
-        // An entry makes a handful of records in its life, far fewer than the ring holds.
+        // An entry writes only a few records during its lifetime, far fewer than the ring holds.
         self.port.records.send(record).ok();
     }
 
     pub(super) fn notify(&mut self, notice: Notice) {
-        // What does not fit is told again with the next report, or by the owner of the key as "outcome unknown".
+        // A notice that does not fit is dropped. The next report repeats its content; after a dropped handover, the new
+        // owner of the keys answers "outcome unknown".
         self.port.peer.send(notice).ok();
     }
 
     /// Handles the directives that concern membership and peers.
     pub(super) fn take_peer_directive(&mut self, now: Time, directive: Directive) {
         match directive {
-            Directive::Members { records, read } => self.take_members(now, read, &records),
-            Directive::Confirm { start, end } => self.confirm(start, end),
-            Directive::Import(view) => self.import(now, &view),
-            Directive::Heard(heard) => self.hear(now, *heard),
-            Directive::Published(demands) => {
-                let demands = self.resolve(&demands);
+            Directive::Members { records, read } => self.apply_members(now, read, &records),
+            Directive::ConfirmView { start, end } => self.confirm_view(start, end),
+            Directive::ImportView(view) => self.import_view(now, &view),
+            Directive::PeerReport(report) => self.apply_report(now, *report),
+            Directive::DemandReported(demands) => {
+                let demands = self.resolve_pools(&demands);
                 self.engine.set_reported(demands);
             }
-            Directive::Lost(entry) => {
+            Directive::PeerLost(entry) => {
                 let id = hash::identity(&entry.host, entry.incarnation);
                 self.engine.remove_peer(id);
             }
             Directive::Retire(entry) => self.retire(entry),
-            Directive::Accept(number, handover) => self.accept(now, number, *handover),
+            Directive::AcceptHandover(number, handover) => {
+                self.accept_handover(now, number, *handover)
+            }
             Directive::Leave => self.leave(),
             Directive::HandOver => self.hand_over(now),
             Directive::Configure(_) | Directive::Drain | Directive::Stop => {}
--- a/crates/daemon/src/dispatch/port.rs
+++ b/crates/daemon/src/dispatch/port.rs
@@ -1,8 +1,8 @@
 //! Rings of the dispatch thread.
 
 use crate::peer::{
-    Heard,
-    Notice, //
+    Notice,
+    PeerReport, //
 };
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::member::{
@@ -30,79 +30,79 @@
 };
 use std::sync::Arc;
 
-/// Rings to and from one exchange thread.
+/// Rings from and to one exchange thread.
 #[derive(Debug)]
-pub struct Lane {
-    /// Messages of the exchange thread.
+pub struct Channel {
+    /// Messages from the exchange thread.
     pub messages: Receiver<Message>,
-    /// Replies to it.
+    /// Replies to the exchange thread.
     pub replies: Sender<Reply>,
 }
 
 /// Ends of all rings of the dispatch thread.
 #[derive(Debug)]
 pub struct Port {
-    /// Rings to and from each exchange thread.
-    pub lanes: Vec<Lane>,
-    /// Messages of the control threads, one ring for each.
+    /// Rings from and to the exchange threads, by the index of the thread.
+    pub channels: Vec<Channel>,
+    /// Directives from the main, platform and peer threads, one ring for each.
     pub directives: Vec<Receiver<Directive>>,
     /// Membership records for the platform thread to append.
     pub records: Sender<Record>,
-    /// To the peer thread.
+    /// Notices for the peer thread.
     pub peer: Sender<Notice>,
     /// Status for the observe thread.
     pub updates: Sender<Update>,
     /// Events for the observe thread.
     pub sink: Sink,
-    /// Signal on which all rings wake this thread.
+    /// Signal through which all rings wake this thread.
     pub signal: Signal,
 }
 
-/// From the control threads to the dispatch thread.
+/// Message from the main, platform or peer thread to the dispatch thread.
 #[derive(Debug)]
 pub enum Directive {
-    /// A configuration or host list is in force.
+    /// Put a new configuration or host list into force.
     Configure(Arc<Snapshot>),
-    /// Records of the stream `member` with their offsets.
+    /// Apply records of the stream `member`, with their offsets.
     Members {
         /// Records in the order of their offsets.
         records: Arc<[(u64, Record)]>,
         /// When the read of these records ended.
         read: Time,
     },
-    /// The stream `member` was read to its end.
-    Confirm {
+    /// Confirm the membership view, because the stream `member` was read to its end.
+    ConfirmView {
         /// When that read started.
         start: Time,
         /// Offset of the last record, 0 for none.
         end: u64,
     },
-    /// A membership view of a peer that is newer than the records read so far.
-    Import(Arc<View>),
-    /// Report of another entry.
-    Heard(Box<Heard>),
-    /// Demand of this entry as its peers were told.
-    Published(Vec<Demand>),
-    /// A peer is silent.
-    Lost(Entry),
-    /// Retire a member of the own zone that has been silent.
+    /// Import a membership view of a peer that is newer than the records read so far.
+    ImportView(Arc<View>),
+    /// Apply the report of another entry.
+    PeerReport(Box<PeerReport>),
+    /// Demand of this entry as its latest reports state it.
+    DemandReported(Vec<Demand>),
+    /// A peer has stopped sending reports.
+    PeerLost(Entry),
+    /// Retire a member of this entry's zone that has stopped sending reports.
     Retire(Entry),
-    /// Accept a handover and tell the peer thread about it under this number.
-    Accept(u64, Box<Handover>),
+    /// Accept a handover and send the result to the peer thread under this number.
+    AcceptHandover(u64, Box<Handover>),
     /// The graceful shutdown has begun; requests are still served.
     Drain,
     /// Leave the membership, so that the keys of this entry move to others.
     Leave,
-    /// Hand the outcomes over to the successors; comes after the last request has ended.
+    /// Hand outcomes over to the entries that own the keys next; sent after the last request has ended.
     HandOver,
     /// End the thread.
     Stop,
 }
 
-/// Rings of the running thread, without the sink, which the journal owns.
+/// Rings of the running thread, without the event sink, which the recorder owns.
 #[derive(Debug)]
 pub(super) struct Rings {
-    pub(super) lanes: Vec<Lane>,
+    pub(super) channels: Vec<Channel>,
     directives: Vec<Receiver<Directive>>,
     pub(super) records: Sender<Record>,
     pub(super) peer: Sender<Notice>,
@@ -113,7 +113,7 @@
 impl Port {
     pub(super) fn split(self) -> (Rings, Sink) {
         let rings = Rings {
-            lanes: self.lanes,
+            channels: self.channels,
             directives: self.directives,
             records: self.records,
             peer: self.peer,
@@ -125,9 +125,11 @@
 }
 
 impl Rings {
-    /// Tells whether anything waits in a ring.
+    /// Returns whether any ring holds a message.
     pub(super) fn is_ready(&self) -> bool {
-        self.lanes.iter().any(|lane| !lane.messages.is_empty())
+        self.channels
+            .iter()
+            .any(|channel| !channel.messages.is_empty())
             || self.directives.iter().any(|ring| !ring.is_empty())
     }
 
@@ -137,9 +139,9 @@
 
     pub(super) fn reply(&mut self, reply: Reply) {
         let thread = usize::from(reply.caller().thread);
-        if let Some(lane) = self.lanes.get_mut(thread) {
-            // The ring has room for every waiting caller; only a dead exchange thread lets it fill up.
-            lane.replies.send(reply).ok();
+        if let Some(channel) = self.channels.get_mut(thread) {
+            // The ring has room for a reply to every waiting caller; it fills up only if the exchange thread has ended.
+            channel.replies.send(reply).ok();
         }
     }
 }
--- a/crates/daemon/src/dispatch/journal.rs
+++ b/crates/daemon/src/dispatch/recorder.rs
@@ -1,4 +1,4 @@
-//! Events of the requests of this process.
+//! Events about the requests of this process.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_dispatch::{
@@ -14,9 +14,9 @@
 use sassafrascrank_route::AttemptResult;
 use slotmap::SecondaryMap;
 
-/// Records what becomes of each request.
+/// Records an event for each step of a request.
 #[derive(Debug)]
-pub(super) struct Journal {
+pub(super) struct Recorder {
     sink: Sink,
     /// Requests that wait for a decision or an answer, by exchange thread.
     requests: Vec<SecondaryMap<caller::Key, Request>>,
@@ -28,7 +28,7 @@
     customer: customer::Key,
     pool: pool::Key,
     class: class::Index,
-    /// When it arrived, got its slot, or lost its last attempt.
+    /// Latest time at which it arrived, got its slot, or had an attempt fail.
     since: Time,
     attempts: u64,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-impl Journal {
+impl Recorder {
     pub(super) fn new(sink: Sink, threads: u8) -> Self {
         Self {
             sink,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Records that the request was passed on to the entry that owns its key.
+    /// Records that the request was forwarded to the entry that owns its key.
     pub(super) fn forwarded(&mut self, now: Time, caller: caller::Handle) {
         if let Some(request) = self.remove(caller) {
             self.sink
@@ -102,8 +102,8 @@
         }
     }
 
-    pub(super) fn finished(&mut self, now: Time, caller: caller::Handle, report: AttemptResult) {
-        match report {
+    pub(super) fn finished(&mut self, now: Time, caller: caller::Handle, result: AttemptResult) {
+        match result {
             AttemptResult::Answered(_) | AttemptResult::Failed(_) => {
                 if let Some(request) = self.remove(caller) {
                     let service = now.since(request.since);
--- a/crates/daemon/src/dispatch/status.rs
+++ b/crates/daemon/src/dispatch/status.rs
@@ -7,7 +7,7 @@
 use sassafrascrank_observe::status::update;
 use sassafrascrank_route::HealthState;
 
-/// Joins the engine's figures with the names of the snapshot in force.
+/// Combines the engine's counts with the names in the current snapshot.
 pub(super) fn status(engine: &Engine, snapshot: &Snapshot) -> update::Engine {
     update::Engine {
         pools: pools(engine, snapshot),
@@ -34,10 +34,10 @@
     let mut entries: Vec<_> = snapshot.upstreams.iter().collect();
     entries.sort_by_key(|entry| entry.key);
     let states = engine.upstreams().filter_map(|status| {
-        let place = entries
+        let index = entries
             .binary_search_by_key(&status.upstream, |entry| entry.key)
             .ok()?;
-        let entry = entries[place];
+        let entry = entries[index];
         let pool = snapshot.pools.iter().find(|pool| pool.key == entry.pool)?;
         Some(update::Upstream {
             host: entry.host.clone(),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! One entry process: settings, threads and the rings between them.
+//! An entry process: its settings, its threads and the rings that connect them.
 
 pub mod clock;
 pub mod dispatch;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -52,9 +52,9 @@
 /// Exit code for a wrong command line or wrong settings.
 const EXIT_USAGE: u8 = 2;
 /// Exit code after a second signal.
-const EXIT_FORCED: i32 = 3;
+const EXIT_SECOND_SIGNAL: i32 = 3;
 
-/// What the process was doing when it failed.
+/// Step at which the process failed.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 enum Error {
@@ -110,7 +110,11 @@
         }
     }
     if let Some(file) = jobs {
-        let unset = || Report::new(Error::Usage).attach("neither FILE nor the variable is given");
+        let unset = || {
+            Report::new(Error::Usage).attach(
+                "neither FILE nor the environment variable SASSAFRASCRANK_NODE_FILE is given",
+            )
+        };
         let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
         let file = file.or(named).ok_or_else(unset)?;
         return Ok(match check {
@@ -150,10 +154,10 @@
     sassafrascrank_adapter::Settings::load(&path).change_context(Error::Settings(path))
 }
 
-/// Accepts jobs until a signal asks for the end.
+/// Accepts jobs until a signal asks for shutdown.
 fn serve_jobs(path: &Path) -> Result<(), Report<Error>> {
     let settings = load_jobs(path.to_owned())?;
-    end_on_panic();
+    abort_on_panic();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -180,7 +184,7 @@
     process.shut_down().change_context(Error::Shutdown)
 }
 
-/// Logs whether the settings file can be used. Without this, the signal would end the process.
+/// Checks the settings file and logs the result. Without a handler, SIGHUP would end the process.
 fn log_reload(logger: &spdlog::Logger, path: &Path) {
     match load_jobs(path.to_owned()) {
         Ok(_) => spdlog::info!(logger: logger, "{{\"event\":\"reload\",\"result\":\"valid\"}}"),
@@ -191,7 +195,7 @@
     }
 }
 
-/// Returns a logger that writes each message as a line of its own to the standard output.
+/// Returns a logger that writes each message to standard output as one line without a prefix.
 fn line_logger() -> spdlog::Result<Arc<spdlog::Logger>> {
     let sink = spdlog::sink::StdStreamSink::builder()
         .stdout()
@@ -205,7 +209,7 @@
 }
 
 fn serve(settings: Settings) -> Result<(), Report<Error>> {
-    end_on_panic();
+    abort_on_panic();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -225,15 +229,15 @@
         };
         tokio::select! {
             () = ended => {}
-            () = signals.next() => exit(EXIT_FORCED),
+            () = signals.next() => exit(EXIT_SECOND_SIGNAL),
         }
     });
     let result = shutdown.join().map_err(|_| Report::new(Error::Shutdown))?;
     result.change_context(Error::Shutdown)
 }
 
-/// Ends the process when any thread panics; it must not go on with only some of its threads.
-fn end_on_panic() {
+/// Aborts the process when any thread panics, because it must not run with only some of its threads.
+fn abort_on_panic() {
     let print = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         print(panic);
--- a/crates/daemon/src/peer/answer.rs
+++ b/crates/daemon/src/peer/answer.rs
@@ -1,4 +1,4 @@
-//! Stored answers in the form of the exchange and of the messages between entries.
+//! Conversion of stored answers between the types of the exchange and of the peer protocol.
 
 use hyper::{
     HeaderMap, StatusCode,
@@ -10,8 +10,8 @@
 use sassafrascrank_exchange::message::Answer;
 use sassafrascrank_peer::message::Stored;
 
-/// Returns the form that is sent to another entry.
-pub fn stored(answer: &Answer) -> Stored {
+/// Converts an answer to the type that is sent to other entries.
+pub fn to_stored(answer: &Answer) -> Stored {
     let headers = answer.headers.iter();
     let headers = headers.map(|(name, value)| {
         let value = value.as_bytes().to_vec();
@@ -24,8 +24,8 @@
     }
 }
 
-/// Returns the form that is given to callers; a header that HTTP does not allow is left out.
-pub fn kept(stored: Stored) -> Answer {
+/// Converts an answer from another entry to the type that is returned to callers; drops invalid headers.
+pub fn from_stored(stored: Stored) -> Answer {
     let mut headers = HeaderMap::with_capacity(stored.headers.len());
     for (name, value) in &stored.headers {
         let name = HeaderName::try_from(name.as_str());
--- a/crates/daemon/src/peer/mod.rs
+++ b/crates/daemon/src/peer/mod.rs
@@ -1,21 +1,21 @@
-//! The peer thread, which talks to the other entry processes.
+//! The peer thread, which exchanges messages with the other entry processes.
 
 mod answer;
 mod handler;
-mod link;
 mod port;
+mod thread;
 
 pub use answer::{
-    kept,
-    stored, //
-};
-pub use link::{
-    Link,
-    Setup, //
+    from_stored,
+    to_stored, //
 };
 pub use port::{
-    Heard,
-    Holding,
+    LocalState,
     Notice,
+    PeerReport,
     Port, //
 };
+pub use thread::{
+    PeerThread,
+    Setup, //
+};
--- a/crates/daemon/src/peer/port.rs
+++ b/crates/daemon/src/peer/port.rs
@@ -30,83 +30,83 @@
 };
 use std::sync::Arc;
 
-/// What another entry reported, for the dispatch thread.
+/// PeerReport of another entry, in the form that the dispatch thread needs.
 #[derive(Clone, Debug)]
-pub struct Heard {
-    /// The entry.
+pub struct PeerReport {
+    /// The entry that sent the report.
     pub entry: Entry,
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens for callers.
+    /// Address at which it listens for callers.
     pub callers: SocketAddr,
-    /// Its whole demand.
+    /// Its demand for all pools.
     pub demands: Vec<Demand>,
-    /// Upstreams that are leaving.
-    pub signs: Vec<Sign>,
-    /// Asks this entry to confirm a view.
+    /// Upstreams that are draining.
+    pub drain_notices: Vec<Sign>,
+    /// Request to confirm a membership view.
     pub request: Option<Request>,
-    /// Answers a request of this entry.
+    /// Answer to a request of this entry.
     pub answer: Option<Answer>,
-    /// Whether it asks for a testimony of its join.
+    /// Whether it asks for an acknowledgement of its join.
     pub joining: bool,
-    /// Its testimony of this entry's join.
-    pub witness: Option<JoinAck>,
+    /// Acknowledgement of this entry's join.
+    pub join_ack: Option<JoinAck>,
 }
 
-/// Configuration and membership that this process holds.
+/// Configuration, membership and host list of this process, which peers can fetch.
 #[derive(Clone, Debug, Default)]
-pub struct Holding {
+pub struct LocalState {
     /// Configuration, once it is complete.
     pub config: Option<Arc<Image>>,
     /// Membership.
     pub member: Arc<View>,
-    /// Host list; empty if the platform has not shown one.
+    /// Host list; empty until the platform has returned one.
     pub hosts: Arc<Vec<Host>>,
 }
 
-/// From the other threads to the peer thread.
+/// Message from another thread to the peer thread.
 #[derive(Debug)]
 pub enum Notice {
-    /// Demand of this entry, and whether it still needs a witness.
+    /// Demand of this entry, and whether it still needs an acknowledgement of its join.
     Demand {
-        /// Whole demand.
+        /// Demand for all pools.
         demands: Vec<Demand>,
-        /// Whether the entry has joined and needs a witness.
+        /// Whether the entry has joined and needs an acknowledgement.
         joining: bool,
     },
     /// Ask peers to confirm the view.
-    Requests(Vec<Request>),
-    /// Answer to a peer's request.
-    Answer(Entry, Answer),
-    /// Testimony for a peer.
-    Testimony(JoinAck),
-    /// A member could not be retired now.
-    Postpone(Entry),
-    /// An upstream is leaving.
-    Leaving(Sign),
-    /// Outcomes that a peer needs.
+    ConfirmationRequests(Vec<Request>),
+    /// Answer to a peer's confirmation request.
+    Confirmation(Entry, Answer),
+    /// Acknowledgement of a peer's join.
+    JoinAck(JoinAck),
+    /// A member could not be retired now; try again later.
+    PostponeRetirement(Entry),
+    /// An upstream is draining; tell the peers.
+    UpstreamDraining(Sign),
+    /// Hand outcomes over to the peer at this address.
     HandOver(Box<Handover>, SocketAddr),
-    /// Whether the handover with this number was accepted.
-    Accepted(u64, Result<(), String>),
-    /// New state to hand to peers.
-    Holding(Holding),
-    /// This process goes on as another incarnation.
-    Rename(Entry),
-    /// Finish handovers, then end the thread.
+    /// Result of the handover with this number, with the reason if it was rejected.
+    HandoverResult(u64, Result<(), String>),
+    /// New state that peers can fetch.
+    LocalState(LocalState),
+    /// This process joins again as a new incarnation.
+    NewIncarnation(Entry),
+    /// Finish the running handovers, then end the thread.
     Stop,
 }
 
 /// Ends of all rings of the peer thread.
 #[derive(Debug)]
 pub struct Port {
-    /// Notices of the other threads, one ring for each.
+    /// Notices from the other threads, one ring for each.
     pub notices: Vec<Receiver<Notice>>,
-    /// To the dispatch thread.
+    /// Directives for the dispatch thread.
     pub dispatch: Sender<Directive>,
-    /// To the platform thread: state of a peer that is newer.
+    /// Newer state of peers, for the platform thread.
     pub platform: Sender<State>,
     /// Events for the observe thread.
     pub sink: Sink,
-    /// Signal on which all rings wake this thread.
+    /// Signal through which all rings wake this thread.
     pub signal: Signal,
 }
--- a/crates/daemon/src/peer/link.rs
+++ b/crates/daemon/src/peer/thread.rs
@@ -1,9 +1,9 @@
-//! Main loop of the peer thread.
+//! Main loop and state of the peer thread.
 
 use super::{
-    Heard,
-    Holding,
+    LocalState,
     Notice,
+    PeerReport,
     Port,
     handler::Responder, //
 };
@@ -63,27 +63,27 @@
     },
 };
 
-/// Tries of one handover; the receiver may not have read the record that moved the keys yet.
-const HANDOVER_TRIES: u32 = 5;
-/// Time between two tries of a handover, the interval in which entries read the log.
-const HANDOVER_PAUSE: Duration = Duration::from_millis(500);
+/// Attempts at one handover; the receiver may not have read the record yet that moved the keys to it.
+const HANDOVER_ATTEMPTS: u32 = 5;
+/// Time between two attempts at a handover, in which the receiver can read further records of the log.
+const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the peer thread starts with.
+/// Initial state of the peer thread.
 pub struct Setup {
     /// This process and its listeners.
     pub me: Identity,
-    /// Peers to ask before any membership is known.
+    /// Addresses of peers to contact before any membership is known.
     pub seeds: Vec<SocketAddr>,
     /// Non-blocking listener for peers.
     pub listener: net::TcpListener,
-    /// Ends of all rings.
+    /// This thread's ends of all rings.
     pub port: Port,
-    /// Tells the present time.
+    /// Returns the current time.
     pub clock: fn() -> Time,
 }
 
-/// The peer thread.
-pub struct Link {
+/// Main loop of the peer thread.
+pub struct PeerThread {
     listener: net::TcpListener,
     notices: Vec<Receiver<Notice>>,
     signal: sassafrascrank_ring::Signal,
@@ -95,30 +95,30 @@
 pub(super) struct Shared {
     roster: RefCell<Roster>,
     status: RefCell<Status>,
-    pub(super) holding: RefCell<Holding>,
+    pub(super) local_state: RefCell<LocalState>,
     clients: RefCell<HashMap<Key, Client>>,
     dispatch: RefCell<Sender<Directive>>,
     platform: RefCell<Sender<State>>,
     sink: RefCell<sassafrascrank_observe::event::Sink>,
-    acceptances: RefCell<HashMap<u64, oneshot::Sender<Result<(), String>>>>,
-    accepted: Cell<u64>,
+    pending_handovers: RefCell<HashMap<u64, oneshot::Sender<Result<(), String>>>>,
+    last_handover_number: Cell<u64>,
     clock: fn() -> Time,
 }
 
-impl Link {
-    /// Makes the thread's state; it must run on a `LocalSet`.
+impl PeerThread {
+    /// Creates the thread's state; it must run on a `LocalSet`.
     pub fn new(setup: Setup) -> Self {
         let port = setup.port;
         let shared = Shared {
             roster: RefCell::new(Roster::new((setup.clock)(), setup.me, &setup.seeds)),
             status: RefCell::default(),
-            holding: RefCell::default(),
+            local_state: RefCell::default(),
             clients: RefCell::default(),
             dispatch: RefCell::new(port.dispatch),
             platform: RefCell::new(port.platform),
             sink: RefCell::new(port.sink),
-            acceptances: RefCell::default(),
-            accepted: Cell::default(),
+            pending_handovers: RefCell::default(),
+            last_handover_number: Cell::default(),
             clock: setup.clock,
         };
         Self {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Exchanges reports until the thread is stopped and its handovers have ended.
+    /// Exchanges reports until the thread is stopped and all handovers have ended.
     ///
     /// # Errors
     ///
@@ -139,7 +139,7 @@
         let listener = TcpListener::from_std(self.listener.try_clone()?)?;
         let server = Server::new(Responder(self.shared.clone()), server::Limit::default());
         let serving = tokio::task::spawn_local(async move { server.serve(listener).await });
-        while !self.take_notices() {
+        while !self.process_notices() {
             self.exchange();
             let now = (self.shared.clock)();
             let next = self.shared.roster.borrow().next(now);
@@ -152,41 +152,41 @@
         Ok(())
     }
 
-    /// Takes what waits in the rings; tells whether the thread has to stop.
-    fn take_notices(&mut self) -> bool {
+    /// Handles all notices in the rings; returns whether the thread must stop.
+    fn process_notices(&mut self) -> bool {
         while let Some(notice) = self.notices.iter_mut().find_map(Receiver::try_recv) {
             match notice {
                 Notice::Stop => return true,
                 Notice::HandOver(handover, address) => {
                     self.handovers.spawn_local(hand_over(address, handover));
                 }
-                notice => self.shared.take_notice(notice),
+                notice => self.shared.process_notice(notice),
             }
         }
         false
     }
 
-    /// Starts the exchanges that are due.
+    /// Starts the exchanges of reports and the fetches of newer state that are due.
     fn exchange(&self) {
         let now = (self.shared.clock)();
-        self.shared.note_changes(now);
+        self.shared.process_roster_events(now);
         let due = self.shared.roster.borrow_mut().due(now);
         for key in due {
             tokio::task::spawn_local(self.shared.clone().report(key));
         }
-        let have = self.shared.have();
-        let newer = self.shared.roster.borrow_mut().newer(now, have);
+        let known = self.shared.known_state();
+        let newer = self.shared.roster.borrow_mut().newer(now, known);
         if let Some(key) = newer {
-            tokio::task::spawn_local(self.shared.clone().fetch(key, have));
+            tokio::task::spawn_local(self.shared.clone().fetch(key, known));
         }
     }
 }
 
 impl Shared {
-    /// Takes a report that a peer sent.
-    pub(super) fn hear(&self, report: &Report) -> Option<Key> {
+    /// Applies a report that a peer sent; returns `None` if the roster has no room for the peer.
+    pub(super) fn apply_report(&self, report: &Report) -> Option<Key> {
         let key = self.roster.borrow_mut().hear((self.clock)(), report)?;
-        self.pass_on(key, report);
+        self.send_to_dispatch(key, report);
         Some(key)
     }
 
@@ -198,71 +198,74 @@
             .compose((self.clock)(), key, &status)
     }
 
-    /// Sends to the dispatch thread; tells whether it fitted.
+    /// Sends a directive to the dispatch thread; returns whether the ring had room for it.
     pub(super) fn send(&self, directive: Directive) -> bool {
         self.dispatch.borrow_mut().send(directive).is_ok()
     }
 
-    /// Numbers a handover whose acceptance `sender` waits for.
-    pub(super) fn await_acceptance(&self, sender: oneshot::Sender<Result<(), String>>) -> u64 {
-        let number = self.accepted.get() + 1;
-        self.accepted.set(number);
-        self.acceptances.borrow_mut().insert(number, sender);
+    /// Assigns a number to a handover; its result will be sent to `sender`.
+    pub(super) fn register_handover(&self, sender: oneshot::Sender<Result<(), String>>) -> u64 {
+        let number = self.last_handover_number.get() + 1;
+        self.last_handover_number.set(number);
+        self.pending_handovers.borrow_mut().insert(number, sender);
         number
     }
 
-    pub(super) fn forget_acceptance(&self, number: u64) {
-        self.acceptances.borrow_mut().remove(&number);
+    pub(super) fn remove_handover(&self, number: u64) {
+        self.pending_handovers.borrow_mut().remove(&number);
     }
 
-    fn take_notice(&self, notice: Notice) {
+    fn process_notice(&self, notice: Notice) {
         let mut roster = self.roster.borrow_mut();
         match notice {
             Notice::Demand { demands, joining } => {
                 roster.publish(demands);
                 roster.seek_witness(joining);
                 let published = roster.published().copied().collect();
-                // What does not fit is followed by the next one in a second.
-                self.send(Directive::Published(published));
+                // A directive that does not fit is dropped; the next one follows within a second.
+                self.send(Directive::DemandReported(published));
             }
-            Notice::Requests(requests) => {
+            Notice::ConfirmationRequests(requests) => {
                 requests
                     .into_iter()
                     .for_each(|request| roster.request(request));
             }
-            Notice::Answer(to, answer) => roster.answer(&to, answer),
-            Notice::Testimony(witness) => roster.testify(witness),
-            Notice::Postpone(entry) => roster.postpone((self.clock)(), &entry),
-            Notice::Leaving(sign) => roster.notice((self.clock)(), sign),
-            Notice::Accepted(number, result) => {
-                if let Some(sender) = self.acceptances.borrow_mut().remove(&number) {
-                    // The peer may have gone.
+            Notice::Confirmation(to, answer) => roster.answer(&to, answer),
+            Notice::JoinAck(join_ack) => roster.testify(join_ack),
+            Notice::PostponeRetirement(entry) => roster.postpone((self.clock)(), &entry),
+            Notice::UpstreamDraining(drain_notice) => roster.notice((self.clock)(), drain_notice),
+            Notice::HandoverResult(number, result) => {
+                if let Some(sender) = self.pending_handovers.borrow_mut().remove(&number) {
+                    // The receiver is gone if the peer has closed its connection.
                     sender.send(result).ok();
                 }
             }
-            Notice::Holding(holding) => {
+            Notice::LocalState(local_state) => {
                 let now = (self.clock)();
-                roster.follow(now, &holding.member, |member| member.address);
+                roster.follow(now, &local_state.member, |member| member.address);
                 let zone = roster.zone().clone();
                 let mut status = self.status.borrow_mut();
-                status.through = holding.config.as_ref().map_or(0, |image| image.through);
-                status.offset = holding.member.offset;
-                status.revision = holding.member.zone(&zone).map_or(0, |zone| zone.revision);
-                self.holding.replace(holding);
+                status.through = local_state.config.as_ref().map_or(0, |image| image.through);
+                status.offset = local_state.member.offset;
+                status.revision = local_state
+                    .member
+                    .zone(&zone)
+                    .map_or(0, |zone| zone.revision);
+                self.local_state.replace(local_state);
             }
-            Notice::Rename(entry) => roster.rename(entry),
+            Notice::NewIncarnation(entry) => roster.rename(entry),
             Notice::HandOver(..) | Notice::Stop => {}
         }
     }
 
-    /// Passes on which peers were lost, found or are due for a retirement.
-    fn note_changes(&self, now: Time) {
+    /// Records which peers were lost or found, and sends losses and due retirements to the dispatch thread.
+    fn process_roster_events(&self, now: Time) {
         let events = self.roster.borrow_mut().tick(now);
         for event in events {
             match event {
                 roster::Event::Lost(entry) => {
                     self.record(Event::new(now, Kind::PeerLost));
-                    self.send(Directive::Lost(entry));
+                    self.send(Directive::PeerLost(entry));
                 }
                 roster::Event::Found(_) => self.record(Event::new(now, Kind::PeerFound)),
                 roster::Event::Retire(entry) => {
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Sends a report to a peer and takes the report in its answer.
+    /// Sends a report to a peer and applies the report in its answer.
     async fn report(self: Rc<Self>, key: Key) {
         let Some(report) = self.compose(key) else {
             return;
@@ -288,66 +291,66 @@
         match result {
             Ok(answer) => {
                 self.roster.borrow_mut().succeed(now, key, &answer);
-                self.pass_on(key, &answer);
+                self.send_to_dispatch(key, &answer);
             }
             Err(_) => self.roster.borrow_mut().fail(now, key),
         }
     }
 
     /// Fetches newer state from a peer for the platform thread.
-    async fn fetch(self: Rc<Self>, key: Key, have: After) {
+    async fn fetch(self: Rc<Self>, key: Key, known: After) {
         let address = self.roster.borrow().peer(key).map(roster::Peer::address);
         let Some(address) = address else {
             return;
         };
         let mut client = Client::new(address, client::Limit::default());
-        if let Ok(state) = client.state(have).await
+        if let Ok(state) = client.state(known).await
             && !state.is_empty()
         {
-            // If the ring is full, the next exchange with the peer asks again.
+            // If the ring is full, the state is fetched again after the next exchange with the peer.
             self.platform.borrow_mut().send(state).ok();
         }
     }
 
-    /// Returns the kept client for a peer, or a new one if the peer has moved.
+    /// Returns the existing client for a peer, or a new one if there is none or the address has changed.
     fn take_client(&self, key: Key) -> Option<Client> {
         let roster = self.roster.borrow();
         let address = roster.peer(key)?.address();
         let mut clients = self.clients.borrow_mut();
         clients.retain(|key, _| roster.peer(*key).is_some());
-        let kept = clients
+        let existing = clients
             .remove(&key)
             .filter(|client| client.address() == address);
-        Some(kept.unwrap_or_else(|| Client::new(address, client::Limit::default())))
+        Some(existing.unwrap_or_else(|| Client::new(address, client::Limit::default())))
     }
 
-    fn pass_on(&self, key: Key, report: &Report) {
+    fn send_to_dispatch(&self, key: Key, report: &Report) {
         let roster = self.roster.borrow();
         let demands = roster
             .peer(key)
             .map(|peer| peer.demands().copied().collect());
         drop(roster);
-        let heard = Heard {
+        let received = PeerReport {
             entry: report.sender.entry.clone(),
             zone: report.sender.zone.clone(),
             callers: report.sender.callers,
             demands: demands.unwrap_or_default(),
-            signs: report.signs.clone(),
+            drain_notices: report.signs.clone(),
             request: report.request.clone(),
             answer: report.answer.clone(),
             joining: report.joining,
-            witness: report.witness.clone(),
+            join_ack: report.witness.clone(),
         };
-        // A report that does not fit is followed by the next one in a second.
-        self.send(Directive::Heard(Box::new(heard)));
+        // A report that does not fit is dropped; the next one follows within a second.
+        self.send(Directive::PeerReport(Box::new(received)));
     }
 
-    fn have(&self) -> After {
+    fn known_state(&self) -> After {
         let status = self.status.borrow();
         After {
             config: status.through,
             member: status.offset,
-            hosts: !self.holding.borrow().hosts.is_empty(),
+            hosts: !self.local_state.borrow().hosts.is_empty(),
         }
     }
 
@@ -356,13 +359,13 @@
     }
 }
 
-/// Hands outcomes over to a peer; without them the peer answers "outcome unknown" for those keys.
+/// Hands outcomes over to a peer. If every attempt fails, the peer answers "outcome unknown" for those keys.
 async fn hand_over(address: SocketAddr, handover: Box<Handover>) {
     let mut client = Client::new(address, client::Limit::default());
-    for _ in 0..HANDOVER_TRIES {
+    for _ in 0..HANDOVER_ATTEMPTS {
         if client.hand_over(&handover).await.is_ok() {
             return;
         }
-        tokio::time::sleep(HANDOVER_PAUSE).await;
+        tokio::time::sleep(HANDOVER_RETRY_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/platform/follower.rs
+++ b/crates/daemon/src/platform/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the log and the host list and puts what they say into force.
+//! Main loop of the platform thread: follows the log and the host list and applies their changes.
 
 use super::{
     Port, membership,
@@ -10,7 +10,7 @@
 use crate::{
     dispatch::Directive,
     peer::{
-        Holding,
+        LocalState,
         Notice, //
     },
 };
@@ -54,19 +54,21 @@
     timeout_at, //
 };
 
-/// Time between two reads of the stream `member`; they renew the lease of 5 s, with three further tries within it.
+/// Time between two reads of the stream `member`. Each read renews the lease of 5 s, within which there is time for
+/// three more attempts.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_200);
-/// Rounds between two reads of the configuration and of the host list. A configuration has to be in force everywhere
-/// within 8 s, and new work for a leaving upstream has to stop within 3 s. Reading them in every second round keeps an
-/// unchanged platform below the 250 of 2,048 bytes a second that `peer::roster::PLATFORM_BYTES` leaves for it.
-const CONFIGURATION_ROUNDS: u32 = 2;
-/// What the log is assumed to keep at least: the records of a week at the target's 1,300 changes a day.
+/// Rounds from one read of the configuration and the host list to the next. A configuration must be in force on all
+/// entries within 8 s, and new work for a draining upstream must stop within 3 s. Reading in every second round keeps
+/// the traffic to an unchanged platform below the 250 of 2,048 bytes a second that `peer::roster::PLATFORM_BYTES`
+/// reserves for it.
+const CONFIGURATION_READ_ROUNDS: u32 = 2;
+/// Retention that the log is assumed to have at least, about a week at the target of 1,300 changes a day.
 const RETENTION: Retention = Retention {
     records: 8_192,
     age: Duration::from_secs(7 * 24 * 3_600),
 };
-/// Time between two tries to put a message into a full ring.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+/// Time between two attempts to send to a full ring.
+const RING_FULL_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// State of the platform thread.
 pub struct Follower<P> {
@@ -75,21 +77,22 @@
     state: State,
     hosts: Vec<Host>,
     membership: membership::Follower,
-    /// Latest snapshot that was sent, by version and hosts.
-    sent: Option<(u64, Vec<Host>)>,
-    /// Offsets of configuration and membership, and the hosts, that the peer thread was told.
-    told: (u64, u64, Vec<Host>),
+    /// Version and hosts of the latest snapshot that all threads received.
+    sent_snapshot: Option<(u64, Vec<Host>)>,
+    /// Configuration offset, membership offset and hosts that were last sent to the peer thread.
+    sent_state: (u64, u64, Vec<Host>),
     appender: Appender,
     schedule: Schedule,
-    log_lost: Option<Time>,
+    log_lost_since: Option<Time>,
     /// Rounds until the configuration and the host list are read again.
-    rounds: u32,
+    rounds_left: u32,
     port: Port,
     clock: fn() -> Time,
 }
 
 impl<P: Log + Directory> Follower<P> {
-    /// Makes the state of a process that knows nothing yet; `catalog` must be the one that made the home zone's key.
+    /// Creates the state without configuration or membership; `catalog` must be the one that created the key of the
+    /// home zone.
     pub fn new(platform: P, catalog: Catalog, me: &Entry, port: Port, clock: fn() -> Time) -> Self {
         Self {
             platform,
@@ -97,52 +100,54 @@
             state: State::new(1),
             hosts: Vec::new(),
             membership: membership::Follower::new(clock(), me),
-            sent: None,
-            told: (0, 0, Vec::new()),
+            sent_snapshot: None,
+            sent_state: (0, 0, Vec::new()),
             appender: Appender::new(me.host.clone(), me.incarnation, me.incarnation),
             schedule: Schedule::new(RETENTION, me.incarnation, clock()),
-            log_lost: None,
-            rounds: 0,
+            log_lost_since: None,
+            rounds_left: 0,
             port,
             clock,
         }
     }
 
-    /// Follows until it is stopped.
+    /// Follows the log and the host list until the thread is stopped.
     pub async fn run(mut self) {
         while self.port.stop.try_recv().is_none() {
             let next = Instant::now() + POLL_INTERVAL;
             self.import().await;
-            let all = self.rounds == 0;
-            self.rounds = self
-                .rounds
+            let read_all = self.rounds_left == 0;
+            self.rounds_left = self
+                .rounds_left
                 .checked_sub(1)
-                .unwrap_or(CONFIGURATION_ROUNDS - 1);
-            let result = self.follow_log(all).await;
-            self.note_log(&result);
+                .unwrap_or(CONFIGURATION_READ_ROUNDS - 1);
+            let result = self.follow_log(read_all).await;
+            self.record_log_state(&result);
             if result.is_err() {
-                // Leaves time for two tries within the 8 s.
-                self.rounds = 0;
+                // Reading again in the next round leaves time for two attempts within the 8 s.
+                self.rounds_left = 0;
             }
-            if all && let Ok(Some(hosts)) = self.platform.hosts().await {
-                self.hosts = hosts.into_iter().map(host).collect();
+            if read_all && let Ok(Some(hosts)) = self.platform.hosts().await {
+                self.hosts = hosts.into_iter().map(from_platform_host).collect();
             }
-            self.tell_peers();
-            self.put_into_force().await;
+            self.send_local_state();
+            self.apply_snapshot().await;
             self.send_status();
             let port = &self.port;
-            let ready =
+            let has_input =
                 || !port.stop.is_empty() || !port.records.is_empty() || !port.states.is_empty();
-            timeout_at(next, self.port.signal.wait(ready)).await.ok();
+            timeout_at(next, self.port.signal.wait(has_input))
+                .await
+                .ok();
         }
     }
 
-    async fn follow_log(&mut self, all: bool) -> Result<(), Error> {
-        if all {
+    async fn follow_log(&mut self, read_all: bool) -> Result<(), Error> {
+        if read_all {
             self.follow_configuration().await?;
         }
         while let Some(record) = self.port.records.try_recv() {
-            // A few records are made in the life of a process, so the queue is never full.
+            // A process writes only a few records during its lifetime, so the queue is never full.
             self.membership.push(&record).ok();
         }
         self.membership
@@ -163,7 +168,7 @@
     }
 
     async fn follow_configuration(&mut self) -> Result<(), Error> {
-        // What was in force stays in force while the log is away.
+        // On an error, the current configuration stays in force.
         for step in catch_up(&mut self.platform, &mut self.state).await? {
             if let Some(origin) = &step.origin {
                 self.appender.observe(origin, step.offset);
@@ -172,7 +177,7 @@
         self.append_snapshot().await
     }
 
-    /// Appends a snapshot of the configuration when one is due, so that it outlives the log's retention.
+    /// Appends a snapshot of the configuration when one is due, so that the configuration outlives the log's retention.
     async fn append_snapshot(&mut self) -> Result<(), Error> {
         let now = (self.clock)();
         if self.appender.is_empty() && self.schedule.is_due(&self.state, now) {
@@ -192,64 +197,65 @@
         failed.map_or(Ok(()), Err)
     }
 
-    /// Takes over state that peers had earlier, while the log is away or has lost old records.
+    /// Imports newer state from peers; needed while the log is unavailable or after it has dropped old records.
     async fn import(&mut self) {
         while let Some(state) = self.port.states.try_recv() {
             if let Some(image) = state.config {
-                // A peer's state that fails its check leaves what is in force alone.
+                // An image that fails validation is ignored; the current configuration stays in force.
                 self.state.import(image).ok();
             }
             if let Some(view) = state.member
                 && self.membership.import(view)
             {
                 let view = Arc::new(self.membership.view().clone());
-                self.send(Directive::Import(view)).await;
+                self.send(Directive::ImportView(view)).await;
             }
             if let Some(hosts) = state.hosts
                 && self.hosts.is_empty()
             {
-                self.hosts = hosts.into_iter().map(adopt).collect();
+                self.hosts = hosts.into_iter().map(from_peer_host).collect();
             }
         }
     }
 
-    /// Gives the peer thread what other entries may ask for.
-    fn tell_peers(&mut self) {
+    /// Sends the state that other entries can fetch to the peer thread, if it has changed.
+    fn send_local_state(&mut self) {
         let (through, offset) = (self.state.through(), self.membership.view().offset);
-        let (told_through, told_offset, told_hosts) = &self.told;
-        if (through, offset, &self.hosts) == (*told_through, *told_offset, told_hosts) {
+        let (sent_through, sent_offset, sent_hosts) = &self.sent_state;
+        if (through, offset, &self.hosts) == (*sent_through, *sent_offset, sent_hosts) {
             return;
         }
-        let holding = Holding {
+        let local_state = LocalState {
             config: self.state.export().map(Arc::new),
             member: Arc::new(self.membership.view().clone()),
-            hosts: Arc::new(self.hosts.iter().map(share).collect()),
+            hosts: Arc::new(self.hosts.iter().map(to_peer_host).collect()),
         };
-        if self.port.peer.send(Notice::Holding(holding)).is_ok() {
-            self.told = (through, offset, self.hosts.clone());
+        if self.port.peer.send(Notice::LocalState(local_state)).is_ok() {
+            self.sent_state = (through, offset, self.hosts.clone());
         }
     }
 
-    /// Sends a directive that must not be lost; the dispatch thread empties its rings many times a second.
+    /// Sends a directive that must not be lost. Waits while the ring is full; the dispatch thread empties it many times
+    /// a second.
     async fn send(&mut self, mut directive: Directive) {
         while let Err(full) = self.port.dispatch.send(directive) {
             if self.port.dispatch.is_closed() {
                 return;
             }
             directive = full;
-            sleep(FULL_PAUSE).await;
+            sleep(RING_FULL_RETRY_INTERVAL).await;
         }
     }
 
-    fn note_log(&mut self, result: &Result<(), Error>) {
+    fn record_log_state(&mut self, result: &Result<(), Error>) {
         let now = (self.clock)();
-        match (result, self.log_lost) {
+        match (result, self.log_lost_since) {
             (Err(_), None) => {
-                self.log_lost = Some(now);
+                self.log_lost_since = Some(now);
                 self.port.sink.record(Event::new(now, Kind::LogLost));
             }
             (Ok(()), Some(since)) => {
-                self.log_lost = None;
+                self.log_lost_since = None;
                 let event = Event::new(now, Kind::LogFound).duration(now.since(since));
                 self.port.sink.record(event);
             }
@@ -257,23 +263,23 @@
         }
     }
 
-    async fn put_into_force(&mut self) {
+    async fn apply_snapshot(&mut self) {
         let through = self.state.through();
         let unchanged =
             |(version, hosts): &(u64, Vec<Host>)| *version == through && *hosts == self.hosts;
-        if self.sent.as_ref().is_some_and(unchanged) {
+        if self.sent_snapshot.as_ref().is_some_and(unchanged) {
             return;
         }
         let snapshot = Arc::new(self.snapshot(through));
-        // Names first, so that the events of this configuration can be resolved.
+        // Names go first, so that the observe thread can resolve the keys in events of this configuration.
         let mut complete = self.port.names.send(names(&snapshot)).is_ok();
-        // The dispatch thread must know a customer before its first request comes.
+        // The dispatch thread must know a customer before the first request of that customer arrives.
         self.send(Directive::Configure(snapshot.clone())).await;
         for exchange in &mut self.port.exchanges {
             complete &= exchange.send(Control::Configure(snapshot.clone())).is_ok();
         }
         if complete {
-            self.sent = Some((through, self.hosts.clone()));
+            self.sent_snapshot = Some((through, self.hosts.clone()));
         }
     }
 
@@ -286,13 +292,13 @@
 
     fn send_status(&mut self) {
         let view = self.membership.view();
-        let status = status(self.state.through(), view, self.log_lost);
-        // The next one follows after the next read.
+        let status = status(self.state.through(), view, self.log_lost_since);
+        // A status that does not fit is dropped; the next one follows after the next round.
         self.port.updates.send(Update::Platform(status)).ok();
     }
 }
 
-fn host(host: sassafrascrank_platform::Host) -> Host {
+fn from_platform_host(host: sassafrascrank_platform::Host) -> Host {
     Host {
         name: host.host,
         incarnation: host.incarnation,
@@ -302,7 +308,7 @@
     }
 }
 
-fn share(host: &Host) -> message::Host {
+fn to_peer_host(host: &Host) -> message::Host {
     message::Host {
         name: host.name.clone(),
         incarnation: host.incarnation,
@@ -312,7 +318,7 @@
     }
 }
 
-fn adopt(host: message::Host) -> Host {
+fn from_peer_host(host: message::Host) -> Host {
     Host {
         name: host.name,
         incarnation: host.incarnation,
--- a/crates/daemon/src/platform/membership.rs
+++ b/crates/daemon/src/platform/membership.rs
@@ -1,4 +1,4 @@
-//! Reads and appends the stream `member`.
+//! Reads the stream `member` and appends records to it.
 
 use super::snapshot::{
     Schedule,
@@ -24,25 +24,25 @@
 };
 use std::sync::Arc;
 
-/// Most records read at once.
+/// Most records in one read.
 const PAGE_LIMIT: usize = 256;
 
-/// Membership as this process has read it, and its own records on their way to the log.
+/// Membership as read from the log, and records of this process that are not yet in the log.
 pub(super) struct Follower {
     fold: Fold,
     writer: Entry,
     appender: Appender,
     schedule: Schedule,
-    /// Where to look for a snapshot, after records were lost that this process had not read.
-    search: Option<u64>,
+    /// Offset from which to search for a snapshot, after unread records have expired from the log.
+    search_offset: Option<u64>,
 }
 
-/// What one read brought.
+/// Result of one read.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// For the dispatch thread, in this order.
+    /// Directives for the dispatch thread, in this order.
     pub(super) directives: Vec<Directive>,
-    /// Whether there is nothing more to read now.
+    /// Whether the end of the stream was reached.
     pub(super) finished: bool,
 }
 
@@ -72,7 +72,7 @@
             writer: me.clone(),
             appender: Appender::new(me.host.clone(), me.incarnation, seed),
             schedule: Schedule::new(now, seed),
-            search: None,
+            search_offset: None,
         }
     }
 
@@ -80,12 +80,12 @@
         self.fold.view()
     }
 
-    /// Takes over a peer's view if it is newer, and tells whether it did.
+    /// Imports a view if it is newer; returns whether it was.
     pub(super) fn import(&mut self, view: View) -> bool {
         let newer = self.fold.import(view);
         if newer {
-            // If the next record has expired too, reading it starts the search again.
-            self.search = None;
+            // If the record after the view has expired too, the next read starts the search again.
+            self.search_offset = None;
         }
         newer
     }
@@ -93,7 +93,7 @@
     pub(super) fn push(&mut self, record: &Record) -> Result<(), Full> {
         let writer = record.writer();
         if *writer != self.writer {
-            // The former incarnation was retired; what it still wanted to append would be ignored.
+            // The former incarnation was retired, so its pending records would be ignored by all readers.
             self.writer = writer.clone();
             let incarnation = writer.incarnation;
             self.appender = Appender::new(writer.host.clone(), incarnation, incarnation);
@@ -117,7 +117,7 @@
         failed.map_or(Ok(()), Err)
     }
 
-    /// Appends a snapshot when one is due; a repeat after a lost answer does no harm.
+    /// Appends a snapshot when one is due; a duplicate after a lost response is harmless.
     pub(super) async fn append_snapshot<L: Log>(
         &mut self,
         log: &mut L,
@@ -126,7 +126,7 @@
         let now = clock();
         let view = self.fold.view();
         let member = view.zone_of(&self.writer).is_some();
-        if !member || self.search.is_some() || !self.schedule.is_due(now, view.offset) {
+        if !member || self.search_offset.is_some() || !self.schedule.is_due(now, view.offset) {
             return Ok(());
         }
         let snapshot = Snapshot {
@@ -139,28 +139,30 @@
         Ok(())
     }
 
-    /// Reads one page; at the end of the stream the progress confirms the view.
+    /// Reads one page; at the end of the stream, the result contains a directive that confirms the view.
     pub(super) async fn read<L: Log>(
         &mut self,
         log: &mut L,
         clock: fn() -> Time,
     ) -> Result<Progress, Error> {
         let start = clock();
-        let next = self.search.unwrap_or(self.view().offset + 1);
+        let next = self.search_offset.unwrap_or(self.view().offset + 1);
         let page = match log.read(Stream::Member, next, PAGE_LIMIT).await {
             Err(Error::Expired { first }) if first > next => {
-                self.search = Some(first);
+                self.search_offset = Some(first);
                 return Ok(Progress::unfinished());
             }
             page => page?,
         };
-        if self.search.is_some() {
-            return Ok(self.search(&page));
+        if self.search_offset.is_some() {
+            return Ok(self.search_page(&page));
         }
         let mut progress = self.fold_page(&page, clock());
         let end = page.end;
         if self.view().offset == end {
-            progress.directives.push(Directive::Confirm { start, end });
+            progress
+                .directives
+                .push(Directive::ConfirmView { start, end });
         }
         Ok(progress)
     }
@@ -169,10 +171,10 @@
         let mut records = Vec::with_capacity(page.records.len());
         for item in &page.records {
             if let Some(snapshot) = Snapshot::decode(&item.body) {
-                self.schedule.note(item.offset, snapshot.written);
+                self.schedule.observe(item.offset, snapshot.written);
             }
-            // A record that does not parse changes nothing, but its offset counts.
-            let record = member::decode(&item.body).map_or_else(|_| unreadable(), record);
+            // A record that does not parse changes nothing, but its offset must be applied.
+            let record = member::decode(&item.body).map_or_else(|_| no_op_record(), record);
             self.observe(item.offset, &record);
             records.push((item.offset, record));
         }
@@ -186,22 +188,22 @@
         }
     }
 
-    /// Looks for a snapshot whose successors are all retained.
-    fn search(&mut self, page: &Page) -> Progress {
+    /// Searches a page for a snapshot after which no record has expired.
+    fn search_page(&mut self, page: &Page) -> Progress {
         let Some(last) = page.records.last() else {
             return Progress::default();
         };
-        self.search = Some(last.offset + 1);
+        self.search_offset = Some(last.offset + 1);
         for item in &page.records {
             let Some(snapshot) = Snapshot::decode(&item.body) else {
                 continue;
             };
-            self.schedule.note(item.offset, snapshot.written);
-            let joined = snapshot.view.offset + 1 >= page.first;
-            if joined && self.import(snapshot.view) {
+            self.schedule.observe(item.offset, snapshot.written);
+            let contiguous = snapshot.view.offset + 1 >= page.first;
+            if contiguous && self.import(snapshot.view) {
                 let view = Arc::new(self.view().clone());
                 return Progress {
-                    directives: vec![Directive::Import(view)],
+                    directives: vec![Directive::ImportView(view)],
                     finished: false,
                 };
             }
@@ -210,7 +212,7 @@
     }
 
     fn observe(&mut self, offset: u64, record: &Record) {
-        // The page starts behind the view, so there is no gap.
+        // The page starts right after the view, so there is no gap.
         self.fold.apply(offset, record).ok();
         let writer = record.writer();
         let origin = sassafrascrank_ledger::Origin {
@@ -222,16 +224,16 @@
     }
 }
 
-/// Returns a record that every fold ignores, for a record that can't be read.
-fn unreadable() -> Record {
-    // No process has incarnation 0, so the writer is never a member.
-    let nobody = Entry {
+/// Returns a record without effect, to stand for a record that does not parse.
+fn no_op_record() -> Record {
+    // No process has incarnation 0, so this entry is never a member.
+    let no_entry = Entry {
         host: Name::placeholder(),
         incarnation: 0,
     };
     Record {
         sequence: 0,
-        change: Change::Leave { entry: nobody },
+        change: Change::Leave { entry: no_entry },
     }
 }
 
--- a/crates/daemon/src/platform/port.rs
+++ b/crates/daemon/src/platform/port.rs
@@ -21,15 +21,15 @@
 /// Ends of all rings of the platform thread.
 #[derive(Debug)]
 pub struct Port {
-    /// To the dispatch thread.
+    /// Directives for the dispatch thread.
     pub dispatch: Sender<Directive>,
-    /// To each exchange thread.
+    /// Control messages for each exchange thread.
     pub exchanges: Vec<Sender<Control>>,
     /// Membership records to append.
     pub records: Receiver<Record>,
-    /// State of peers that is newer than what this process has.
+    /// State of peers that is newer than that of this process.
     pub states: Receiver<State>,
-    /// To the peer thread.
+    /// Notices for the peer thread.
     pub peer: Sender<Notice>,
     /// Names for the observe thread.
     pub names: Sender<Table>,
@@ -39,6 +39,6 @@
     pub sink: Sink,
     /// Request to stop.
     pub stop: Receiver<()>,
-    /// Signal on which the rings wake this thread.
+    /// Signal through which the rings wake this thread.
     pub signal: Signal,
 }
--- a/crates/daemon/src/platform/report.rs
+++ b/crates/daemon/src/platform/report.rs
@@ -8,7 +8,7 @@
     status::update, //
 };
 
-/// Returns the names of all keys of a snapshot.
+/// Returns the names of all keys in a snapshot.
 pub(super) fn names(snapshot: &Snapshot) -> Table {
     let customers = snapshot.customers.iter();
     let pools = snapshot.pools.iter();
@@ -25,8 +25,12 @@
     }
 }
 
-/// Returns the status of log, configuration and membership.
-pub(super) fn status(configuration: u64, view: &View, log_lost: Option<Time>) -> update::Platform {
+/// Returns the status of the log, the configuration and the membership.
+pub(super) fn status(
+    configuration: u64,
+    view: &View,
+    log_lost_since: Option<Time>,
+) -> update::Platform {
     let zones = view.zones.iter();
     let members = zones.flat_map(|(zone, state)| {
         state.members.iter().map(|member| update::Member {
@@ -43,6 +47,6 @@
         configuration,
         membership: view.offset,
         members,
-        log_lost,
+        log_lost: log_lost_since,
     }
 }
--- a/crates/daemon/src/platform/snapshot.rs
+++ b/crates/daemon/src/platform/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the membership in the stream `member`, so that it outlives the log's retention.
+//! Snapshots of the membership in the stream `member`, so that the membership outlives the log's retention.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_claim::member::{
@@ -11,14 +11,14 @@
     Serialize, //
 };
 
-/// Records after which a snapshot is due, an eighth of what the log keeps at least.
+/// Records after which a snapshot is due: an eighth of the least number that the log retains.
 const RECORD_LIMIT: u64 = 1_024;
-/// Age at which a snapshot is due, a quarter of the seven days that the log keeps records at least.
+/// Age of the latest snapshot at which a new one is due: a quarter of the seven days that the log retains at least.
 const AGE_LIMIT: Duration = Duration::from_secs(42 * 3_600);
-/// Longest time for which a process lets the others write the snapshot.
+/// Upper bound of the delay by which a process lets others write a due snapshot first.
 const JITTER_LIMIT: Duration = Duration::from_secs(600);
 
-/// A membership view and when it was written.
+/// A membership view with the time at which it was written.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Snapshot {
     /// When it was written, by the writer's clock.
@@ -27,7 +27,7 @@
     pub(super) view: View,
 }
 
-/// Record as it stands in the log.
+/// Record as it is stored in the log.
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Record {
@@ -54,7 +54,7 @@
         serde_json::to_string(&record).ok()
     }
 
-    /// Decodes a record; returns nothing if it is not a snapshot or fails its check.
+    /// Decodes a record; returns `None` if it is not a snapshot or its view is invalid.
     pub(super) fn decode(text: &str) -> Option<Self> {
         let Record::Snapshot(body) = serde_json::from_str(text).ok()?;
         Some(Self {
@@ -82,11 +82,11 @@
         }
     }
 
-    pub(super) fn note(&mut self, offset: u64, written: Time) {
+    pub(super) fn observe(&mut self, offset: u64, written: Time) {
         self.latest = Some((offset, written));
     }
 
-    /// Tells whether a snapshot of the view at `offset` is due.
+    /// Returns whether a snapshot of the view at `offset` is due.
     pub(super) fn is_due(&self, now: Time, offset: u64) -> bool {
         match self.latest {
             Some((latest, written)) => {
--- a/crates/daemon/src/process/listener.rs
+++ b/crates/daemon/src/process/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners of a process.
+//! TCP listeners.
 
 use core::net::SocketAddr;
 use socket2::{
@@ -12,7 +12,7 @@
     net::TcpListener, //
 };
 
-/// Connections that wait to be accepted; the kernel cuts it to its own limit.
+/// Most connections that wait to be accepted; the kernel lowers it to its own limit.
 const BACKLOG: i32 = 1_024;
 
 /// Opens a listener; with `shared`, several threads may listen on the same address.
@@ -22,7 +22,7 @@
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
-    // A replaced process must not wait for the connections of the former one.
+    // Without this, a restarted process could not bind while connections of the former one are in TIME_WAIT.
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(shared)?;
     socket.bind(&address.into())?;
--- a/crates/daemon/src/process/process.rs
+++ b/crates/daemon/src/process/process.rs
@@ -1,9 +1,9 @@
-//! An entry process within the present operating system process.
+//! Start and shutdown of an entry process inside the current operating system process.
 
 use super::{
     threads::{
         Thread,
-        wait, //
+        wait_for_end, //
     },
     wiring::Wiring, //
 };
@@ -44,22 +44,22 @@
     time::Instant, //
 };
 
-/// Capacity of a ring that carries control messages; each is sent again when it does not fit.
-pub(super) const CONTROL_CAPACITY: usize = 64;
+/// Capacity of a ring for control messages. A message that does not fit is sent again, or a later one replaces it.
+pub(super) const CONTROL_RING_CAPACITY: usize = 64;
 
-/// Longest wait for the departure to be read back and for outcomes to be handed over.
-const HANDOVER_LIMIT: Duration = Duration::from_secs(5);
+/// Longest wait for this entry to read back its departure and to hand over its outcomes.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bounds that tests and the demo may lower.
+/// Limits that tests and the demo can lower.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bounds of each exchange thread.
+    /// Limits of each exchange thread.
     pub exchange: exchange::Limit,
-    /// Bounds of the engine.
+    /// Limits of the engine.
     pub engine: engine::Limit,
-    /// Bounds of the table of keyed requests.
+    /// Limits of the table of keyed requests.
     pub table: table::Limit,
-    /// Records in the time line.
+    /// Capacity of the time line, in records.
     pub timeline: usize,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// The process can't start or did not end well.
+/// The process can't start or did not shut down cleanly.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
@@ -90,9 +90,9 @@
     /// A thread has panicked.
     #[error("thread {0} panicked; the message above names the place")]
     Panicked(&'static str),
-    /// Requests were still running at the end of the shutdown limit.
+    /// Requests were still running when the shutdown limit expired.
     #[error("requests were still running after {0:?}; raise shutdown_limit_ms")]
-    Late(Duration),
+    ShutdownTimeout(Duration),
 }
 
 /// A running entry process.
@@ -122,7 +122,7 @@
             incarnation: clock::now().as_millis(),
         };
         let mut wiring = Wiring::new(&settings, &options, &me)?;
-        let (updates, main_updates) = ring(CONTROL_CAPACITY, &wiring.observe_signal);
+        let (updates, main_updates) = ring(CONTROL_RING_CAPACITY, &wiring.observe_signal);
         wiring.updates.push(main_updates);
         let (callers, peers) = (wiring.callers, wiring.peers);
         let exchanges = wiring.start_exchanges(options.exchange)?;
@@ -160,9 +160,9 @@
         self.admin
     }
 
-    /// Shuts down gracefully: serves on for the shutdown delay, then stops accepting and finishes what runs.
+    /// Shuts down gracefully: keeps serving for the shutdown delay, then stops accepting and finishes running requests.
     ///
-    /// Blocks for the shutdown delay and at most for the shutdown limit after it.
+    /// Blocks for the shutdown delay, then at most for the shutdown limit, and then for the handover of outcomes.
     ///
     /// # Errors
     ///
@@ -176,14 +176,14 @@
         self.control_exchanges(&Control::Close);
         let deadline = Instant::now() + self.settings.shutdown_limit;
         for exchange in self.exchanges {
-            if !wait(&exchange.handle, deadline) {
-                return Err(Error::Late(self.settings.shutdown_limit));
+            if !wait_for_end(&exchange.handle, deadline) {
+                return Err(Error::ShutdownTimeout(self.settings.shutdown_limit));
             }
             exchange.join()?.ok();
         }
         self.dispatch.control.send(Directive::HandOver).ok();
-        if !wait(&self.peer.handle, Instant::now() + HANDOVER_LIMIT) {
-            // The departure could not be read back; the outcomes are lost, which peers tell as "outcome unknown".
+        if !wait_for_end(&self.peer.handle, Instant::now() + HANDOVER_TIMEOUT) {
+            // The handover did not finish in time. Peers answer "outcome unknown" for the outcomes that they lack.
             self.peer.control.send(Notice::Stop).ok();
         }
         self.peer.join()?.ok();
@@ -196,7 +196,7 @@
 
     fn control_exchanges(&mut self, control: &Control) {
         for exchange in &mut self.exchanges {
-            // Two messages in the life of a thread always fit.
+            // Each thread gets only two of these messages, which always fit.
             exchange.control.send(control.clone()).ok();
         }
     }
--- a/crates/daemon/src/process/threads.rs
+++ b/crates/daemon/src/process/threads.rs
@@ -16,8 +16,8 @@
     task::LocalSet, //
 };
 
-/// Interval of the look at threads that are ending.
-const JOIN_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a thread is checked for its end.
+const JOIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A thread and the ring that controls it.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     pub(super) handle: JoinHandle<T>,
 }
 
-/// Starts a thread that runs the future which `make` returns, and others that it spawns locally.
+/// Spawns a thread that runs the future returned by `make` on a `LocalSet`.
 fn spawn<F, T>(name: &str, make: F) -> io::Result<JoinHandle<T::Output>>
 where
     F: FnOnce() -> T + Send + 'static,
@@ -48,17 +48,18 @@
     }
 }
 
-/// Waits for the end of a thread; tells whether it came before the deadline.
-pub(super) fn wait<T>(handle: &JoinHandle<T>, deadline: Instant) -> bool {
+/// Waits for a thread to end; returns whether it ended before the deadline.
+pub(super) fn wait_for_end<T>(handle: &JoinHandle<T>, deadline: Instant) -> bool {
     while !handle.is_finished() {
         if Instant::now() >= deadline {
             return false;
         }
-        std::thread::sleep(JOIN_INTERVAL);
+        std::thread::sleep(JOIN_POLL_INTERVAL);
     }
     true
 }
 
+/// Starts a named thread with its control ring.
 pub(super) fn start<C, F, T>(
     name: &'static str,
     control: Sender<C>,
--- a/crates/daemon/src/process/wiring.rs
+++ b/crates/daemon/src/process/wiring.rs
@@ -1,9 +1,9 @@
-//! Rings between the threads, before the threads start.
+//! Creates the rings between the threads and starts the threads.
 
 use super::{
     Error, Options,
     listener::listen,
-    process::CONTROL_CAPACITY,
+    process::CONTROL_RING_CAPACITY,
     threads::{
         Thread,
         start, //
@@ -18,8 +18,8 @@
     },
     peer::{
         self,
-        Link,
-        Notice, //
+        Notice,
+        PeerThread, //
     },
     platform::{
         self,
@@ -81,28 +81,29 @@
     net::TcpListener, //
 };
 
-/// Events that a thread may record between two batches of the observe thread, 5 ms apart.
-const EVENT_CAPACITY: usize = 4_096;
+/// Events that a thread can record between two batches of the observe thread, which are 5 ms apart.
+const EVENT_RING_CAPACITY: usize = 4_096;
 
-/// Notices for the peer thread between two of its rounds: an answer and a testimony for each of 64 peers.
-const NOTICE_CAPACITY: usize = 256;
+/// Notices for the peer thread between two of its rounds, with room for a confirmation and a join acknowledgement for
+/// each of 64 peers.
+const NOTICE_RING_CAPACITY: usize = 256;
 
-/// Rings of one exchange thread.
-struct Lane {
+/// Listener and rings of an exchange thread that has not started yet.
+struct ExchangeSetup {
     listener: TcpListener,
     port: exchange::Port,
 }
 
-/// Ends of all rings that no thread has taken yet.
+/// Listeners and ring ends that no thread has taken yet.
 pub(super) struct Wiring {
     pub(super) callers: SocketAddr,
     pub(super) peers: SocketAddr,
     pub(super) observe_signal: Signal,
     pub(super) updates: Vec<Receiver<Update>>,
     sources: Vec<Source>,
-    capacity: usize,
-    lanes: Vec<Lane>,
-    dispatch_lanes: Vec<dispatch::Lane>,
+    timeline_capacity: usize,
+    exchange_setups: Vec<ExchangeSetup>,
+    dispatch_channels: Vec<dispatch::Channel>,
     dispatch_signal: Signal,
     to_exchanges: Vec<Sender<Control>>,
     to_dispatch: Option<Sender<Directive>>,
@@ -131,9 +132,9 @@
             observe_signal: Signal::new(),
             updates: Vec::new(),
             sources: Vec::new(),
-            capacity: options.timeline,
-            lanes: Vec::new(),
-            dispatch_lanes: Vec::new(),
+            timeline_capacity: options.timeline,
+            exchange_setups: Vec::new(),
+            dispatch_channels: Vec::new(),
             dispatch_signal: Signal::new(),
             to_exchanges: Vec::new(),
             to_dispatch: None,
@@ -145,11 +146,11 @@
         let threads = settings.exchange_threads;
         let origin = request::Origin::new(&me.host, me.incarnation);
         for index in 0..threads {
-            // The first listener may have been given a port by the system.
+            // With port 0 in the settings, the others must use the port that the system assigned to the first.
             let listener = listen(wiring.callers, threads > 1).map_err(error)?;
             wiring.callers = listener.local_addr().map_err(error)?;
             let counter = request::Counter::new(origin, index.into(), threads.into());
-            wiring.add_lane(listener, options.exchange, counter);
+            wiring.add_exchange(listener, options.exchange, counter);
         }
         Ok(wiring)
     }
@@ -159,13 +160,21 @@
         limit: exchange::Limit,
     ) -> Result<Vec<Thread<Control, io::Result<()>>>, Error> {
         let mut threads = Vec::new();
-        for (index, mut lane) in self.lanes.drain(..).enumerate() {
-            let (control, controls) = ring(CONTROL_CAPACITY, &lane.port.signal);
-            lane.port.controls.push(controls);
+        for (index, mut exchange_setup) in self.exchange_setups.drain(..).enumerate() {
+            let (control, controls) = ring(CONTROL_RING_CAPACITY, &exchange_setup.port.signal);
+            exchange_setup.port.controls.push(controls);
             // The settings bound the number of threads far below 256.
             let index = u8::try_from(index).unwrap_or(u8::MAX);
-            let make =
-                move || Exchange::new(index, lane.listener, lane.port, limit, clock::now).run();
+            let make = move || {
+                Exchange::new(
+                    index,
+                    exchange_setup.listener,
+                    exchange_setup.port,
+                    limit,
+                    clock::now,
+                )
+                .run()
+            };
             threads.push(start("exchange", control, make)?);
         }
         Ok(threads)
@@ -182,12 +191,13 @@
         let id = hash::identity(&me.host, me.incarnation);
         let zone = settings.availability_zone.clone();
         let limit = lease::Limit::default();
-        let (control, directives) = ring(CONTROL_CAPACITY, &self.dispatch_signal);
-        let (to_dispatch, platform_directives) = ring(CONTROL_CAPACITY, &self.dispatch_signal);
-        let (peer_to_dispatch, peer_directives) = ring(CONTROL_CAPACITY, &self.dispatch_signal);
+        let (control, directives) = ring(CONTROL_RING_CAPACITY, &self.dispatch_signal);
+        let (to_dispatch, platform_directives) = ring(CONTROL_RING_CAPACITY, &self.dispatch_signal);
+        let (peer_to_dispatch, peer_directives) =
+            ring(CONTROL_RING_CAPACITY, &self.dispatch_signal);
         self.to_dispatch = Some(to_dispatch);
         self.peer_to_dispatch = Some(peer_to_dispatch);
-        let (records_in, records) = ring(CONTROL_CAPACITY, &self.platform_signal);
+        let (records_in, records) = ring(CONTROL_RING_CAPACITY, &self.platform_signal);
         self.records = Some(records);
         let setup = dispatch::Setup {
             engine: Engine::new(home, settings.exchange_threads, options.engine, id),
@@ -196,7 +206,7 @@
             table: options.table,
             address: self.peers,
             port: dispatch::Port {
-                lanes: core::mem::take(&mut self.dispatch_lanes),
+                channels: core::mem::take(&mut self.dispatch_channels),
                 directives: vec![directives, platform_directives, peer_directives],
                 records: records_in,
                 peer: self.add_notices(),
@@ -216,13 +226,13 @@
         catalog: Catalog,
     ) -> Result<Thread<(), ()>, Error> {
         let (control, stop) = ring(1, &self.platform_signal);
-        let (names, tables) = ring(CONTROL_CAPACITY, &self.observe_signal);
+        let (names, tables) = ring(CONTROL_RING_CAPACITY, &self.observe_signal);
         self.tables.push(tables);
         let (Some(to_dispatch), Some(records)) = (self.to_dispatch.take(), self.records.take())
         else {
             unreachable!("the dispatch thread is started first")
         };
-        let (states_in, states) = ring(CONTROL_CAPACITY, &self.platform_signal);
+        let (states_in, states) = ring(CONTROL_RING_CAPACITY, &self.platform_signal);
         self.states = Some(states_in);
         let port = platform::Port {
             states,
@@ -247,7 +257,7 @@
         me: &Entry,
     ) -> Result<Thread<Notice, io::Result<()>>, Error> {
         let error = |error| Error::Listen(settings.peers, "peers", error);
-        let (control, notices) = ring(CONTROL_CAPACITY, &self.peer_signal);
+        let (control, notices) = ring(CONTROL_RING_CAPACITY, &self.peer_signal);
         self.notices.push(notices);
         let (Some(dispatch), Some(platform)) = (self.peer_to_dispatch.take(), self.states.take())
         else {
@@ -271,7 +281,7 @@
             },
             clock: clock::now,
         };
-        start("peer", control, move || Link::new(setup).run())
+        start("peer", control, move || PeerThread::new(setup).run())
     }
 
     pub(super) fn start_observe(
@@ -288,7 +298,7 @@
                 incarnation: me.incarnation,
             },
             zone: settings.availability_zone.clone(),
-            capacity: self.capacity,
+            capacity: self.timeline_capacity,
             listener,
             sources: self.sources,
             tables: self.tables,
@@ -300,7 +310,7 @@
         Ok((address, handle))
     }
 
-    fn add_lane(
+    fn add_exchange(
         &mut self,
         listener: TcpListener,
         limit: exchange::Limit,
@@ -309,8 +319,8 @@
         let signal = Signal::new();
         let (outbox, messages) = ring(limit.ring_capacity(), &self.dispatch_signal);
         let (replies_in, replies) = ring(limit.ring_capacity(), &signal);
-        let (control, controls) = ring(CONTROL_CAPACITY, &signal);
-        self.dispatch_lanes.push(dispatch::Lane {
+        let (control, controls) = ring(CONTROL_RING_CAPACITY, &signal);
+        self.dispatch_channels.push(dispatch::Channel {
             messages,
             replies: replies_in,
         });
@@ -323,23 +333,23 @@
             sink: self.add_sink("exchange"),
             counter,
         };
-        self.lanes.push(Lane { listener, port });
+        self.exchange_setups.push(ExchangeSetup { listener, port });
     }
 
     fn add_sink(&mut self, thread: &'static str) -> Sink {
-        let (sink, source) = event::ring(thread, EVENT_CAPACITY, &self.observe_signal);
+        let (sink, source) = event::ring(thread, EVENT_RING_CAPACITY, &self.observe_signal);
         self.sources.push(source);
         sink
     }
 
     fn add_notices(&mut self) -> Sender<Notice> {
-        let (sender, receiver) = ring(NOTICE_CAPACITY, &self.peer_signal);
+        let (sender, receiver) = ring(NOTICE_RING_CAPACITY, &self.peer_signal);
         self.notices.push(receiver);
         sender
     }
 
     fn add_updates(&mut self) -> Sender<Update> {
-        let (sender, receiver) = ring(CONTROL_CAPACITY, &self.observe_signal);
+        let (sender, receiver) = ring(CONTROL_RING_CAPACITY, &self.observe_signal);
         self.updates.push(receiver);
         sender
     }
--- a/crates/daemon/src/settings/settings.rs
+++ b/crates/daemon/src/settings/settings.rs
@@ -1,4 +1,4 @@
-//! Settings file and its check.
+//! Parses and checks the settings file.
 
 use core::net::SocketAddr;
 use sassafrascrank_base::{
@@ -13,31 +13,31 @@
     path::Path, //
 };
 
-/// Most exchange threads; an entry host is small.
-const THREAD_LIMIT: u8 = 16;
+/// Most exchange threads, since an entry host has few cores.
+const EXCHANGE_THREAD_LIMIT: u8 = 16;
 
 /// Settings of one entry process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
     /// Name of the host, unique in the deployment.
     pub host: Name,
-    /// Where the host stands.
+    /// Availability zone of the host.
     pub availability_zone: Name,
-    /// Listener for callers.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Listener for other entries.
+    /// Address of the listener for other entries.
     pub peers: SocketAddr,
-    /// Listener for operators.
+    /// Address of the listener for operators.
     pub admin: SocketAddr,
-    /// The platform's log and host list.
+    /// Address of the platform, which serves the log and the host list.
     pub platform: SocketAddr,
-    /// Listeners for other entries of some entries, for a start while the log is away.
+    /// Peer addresses of some other entries, from which to fetch state at a start while the log is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub exchange_threads: u8,
-    /// Time in which new connections are still served after the request to shut down, so that the balancer notices.
+    /// Time after a shutdown request in which new connections are still served, so that the load balancer can notice.
     pub shutdown_delay: Duration,
-    /// Longest time of a graceful shutdown after that.
+    /// Longest time after the shutdown delay in which running requests can finish.
     pub shutdown_limit: Duration,
 }
 
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Names line, field, value and remedy.
+    /// Fails if the settings can't be used; the error names line or field, value and remedy.
     pub fn load(path: &Path) -> Result<Self, Error> {
         Self::parse(&fs::read_to_string(path)?)
     }
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Names line, field, value and remedy.
+    /// Fails if the settings can't be used; the error names line or field, value and remedy.
     pub fn parse(text: &str) -> Result<Self, Error> {
         text::parse::<Wire>(text)?.try_into()
     }
@@ -107,7 +107,7 @@
     1
 }
 
-/// Twice the usual interval of a balancer's health check.
+/// Twice the usual health check interval of a load balancer.
 const fn default_shutdown_delay_ms() -> u64 {
     2_000
 }
@@ -120,11 +120,11 @@
     type Error = Error;
 
     fn try_from(wire: Wire) -> Result<Self, Error> {
-        if wire.exchange_threads == 0 || wire.exchange_threads > THREAD_LIMIT {
+        if wire.exchange_threads == 0 || wire.exchange_threads > EXCHANGE_THREAD_LIMIT {
             return Err(Error::Value {
                 field: "exchange_threads",
                 value: wire.exchange_threads.to_string(),
-                remedy: format!("use 1 to {THREAD_LIMIT}"),
+                remedy: format!("use 1 to {EXCHANGE_THREAD_LIMIT}"),
             });
         }
         Ok(Self {
