--- a/crates/daemon/examples/capacity.rs
+++ b/crates/daemon/examples/capacity.rs
@@ -1,8 +1,9 @@
-//! Measures what control costs entry processes: `capacity SIZE ENTRIES SECONDS FOLDER PORT`.
+//! Measures processor time, memory and platform traffic of entry processes without requests, and the delay until a
+//! configuration change is in force: `capacity SIZE ENTRIES SECONDS FOLDER PORT`.
 //!
-//! It starts a stand-in of the platform, publishes a configuration of the given size (0 to 2), and writes settings for
-//! each entry to FOLDER, with listeners from PORT on. It then waits until FOLDER holds the file `pids` with the process
-//! ids of the entries in their order. `measure.sh` beside this file does all of that.
+//! It starts a stand-in of the platform, publishes a configuration of the given size (0 to 2), and writes the settings
+//! file of each entry to FOLDER, with listeners from PORT on. It then waits for the file `pids` in FOLDER, which holds
+//! the process ids of the entries, in order. The script `measure.sh` beside this file runs the whole measurement.
 
 use core::{
     net::SocketAddr,
@@ -53,16 +54,16 @@
 
 type Result<T> = core::result::Result<T, Box<dyn Error>>;
 
-/// Customers, pools and hosts; the last one is the target size.
+/// Numbers of customers, pools and hosts for each SIZE; the last one is the target.
 const SIZES: [[usize; 3]; 3] = [[10, 20, 140], [50, 100, 700], [100, 199, 1_400]];
-/// Changes of one contract each.
-const CHANGES: u64 = 20;
-/// Time between two changes; not a multiple of the poll interval, so that changes meet each phase of a poll.
+/// Number of configuration changes, each of one contract.
+const CHANGE_COUNT: u64 = 20;
+/// Time between two changes; not a multiple of the poll interval, so that changes occur in each phase of a poll.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(2_700);
-/// Pools in one contract.
-const CONTRACT_POOLS: usize = 10;
-/// Zones, as at the target.
-const ZONES: usize = 4;
+/// Number of pools in one contract.
+const POOLS_PER_CONTRACT: usize = 10;
+/// Number of availability zones, as at the target.
+const ZONE_COUNT: usize = 4;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<()> {
@@ -88,7 +89,7 @@
     }
     fs::write(folder.join("ready"), "")?;
     let pids = wait_for_pids(&folder.join("pids")).await;
-    // Lets the entries read the configuration, agree on the membership and exchange full reports.
+    // Gives the entries time to read the configuration, agree on the membership and exchange full reports.
     sleep(Duration::from_secs(12)).await;
     let [customers, pools, hosts] = size;
     println!("{customers} customers, {pools} pools, {hosts} hosts, {entries} entries");
@@ -100,13 +101,13 @@
     let before = Sample::take(&pids, &counters)?;
     let start = tokio::time::Instant::now();
     let mut published = Vec::new();
-    for change in 0..CHANGES {
-        let began = clock::now().as_micros();
+    for change in 0..CHANGE_COUNT {
+        let start_micros = clock::now().as_micros();
         let text = format!(
             "{{\"customers\":{{\"team0\":{}}}}}",
             contract(0, pools, 2_000 + change)
         );
-        published.push((publish(platform.address(), &text).await?, began));
+        published.push((publish(platform.address(), &text).await?, start_micros));
         sleep(CHANGE_INTERVAL).await;
     }
     let changed = Sample::take(&pids, &counters)?.minus(&before);
@@ -118,7 +119,7 @@
     let host = |index: usize| platform::Host {
         host: format!("host{index}"),
         address: format!("127.0.0.1:{}", 40_000 + index),
-        zone: format!("zone{}", index % ZONES),
+        zone: format!("zone{}", index % ZONE_COUNT),
         rack: format!("rack{}", index / 4),
         state: "live".to_owned(),
         incarnation: 1,
@@ -127,9 +128,13 @@
 }
 
 fn contract(customer: usize, pools: usize, rate: u64) -> String {
-    let share =
-        |index: usize| format!("\"pool{}\":10", (customer * CONTRACT_POOLS + index) % pools);
-    let shares: Vec<String> = (0..CONTRACT_POOLS).map(share).collect();
+    let share = |index: usize| {
+        format!(
+            "\"pool{}\":10",
+            (customer * POOLS_PER_CONTRACT + index) % pools
+        )
+    };
+    let shares: Vec<String> = (0..POOLS_PER_CONTRACT).map(share).collect();
     format!(
         r#"{{"credential_sha256":"{:064x}","rate":{rate},"burst":1000,"shares":{{{}}},"classes":[
             {{"name":"first","share":70,"queue_timeout_ms":3000,"queue_limit":1000}},
@@ -151,7 +156,7 @@
 }
 
 fn settings(entry: usize, port: u16, platform: SocketAddr) -> String {
-    let zone = entry % ZONES;
+    let zone = entry % ZONE_COUNT;
     let mut text = format!("{{\"host\":\"entry{entry}\",\"availability_zone\":\"zone{zone}\"");
     for (name, offset) in [("callers", 0), ("peers", 1), ("admin", 2)] {
         let _ = write!(text, ",\"{name}\":\"{}\"", listener(entry, port, offset));
@@ -176,21 +181,21 @@
     }
 }
 
-/// Forwards connections to the platform and counts the bytes in both directions.
+/// Starts a proxy that forwards connections to the platform and counts the bytes in both directions.
 async fn proxy(platform: SocketAddr, counter: Arc<AtomicU64>) -> Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            let Ok(far) = TcpStream::connect(platform).await else {
+        while let Ok((client, _)) = listener.accept().await {
+            let Ok(server) = TcpStream::connect(platform).await else {
                 continue;
             };
-            near.set_nodelay(true).ok();
-            far.set_nodelay(true).ok();
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
-            tokio::spawn(forward(near_read, far_write, counter.clone()));
-            tokio::spawn(forward(far_read, near_write, counter.clone()));
+            client.set_nodelay(true).ok();
+            server.set_nodelay(true).ok();
+            let (client_read, client_write) = client.into_split();
+            let (server_read, server_write) = server.into_split();
+            tokio::spawn(forward(client_read, server_write, counter.clone()));
+            tokio::spawn(forward(server_read, client_write, counter.clone()));
         }
     });
     Ok(address)
@@ -221,7 +226,7 @@
     }
 }
 
-/// Sums over the entries.
+/// Totals over all entries.
 struct Sample {
     /// Processor time in nanoseconds by thread name.
     threads: BTreeMap<String, u64>,
@@ -288,25 +293,25 @@
     let mut total = 0.0;
     for (name, time) in &changed.threads {
         let base = rate.threads.get(name).copied().unwrap_or(0) as f64 * scale;
-        let each = (*time as f64 - base) / 1e6 / CHANGES as f64;
+        let each = (*time as f64 - base) / 1e6 / CHANGE_COUNT as f64;
         total += each;
         println!("  change {name}: {each:.3} ms over all entries");
     }
-    let bytes = (changed.bytes as f64 - rate.bytes as f64 * scale) / CHANGES as f64;
+    let bytes = (changed.bytes as f64 - rate.bytes as f64 * scale) / CHANGE_COUNT as f64;
     println!("  change total: {total:.3} ms, {bytes:.0} bytes from the platform, over all entries");
 }
 
-/// Prints the time from the start of publishing until the last entry has a change in force, by the entries' time lines.
+/// Prints the time from the start of publishing until a change is in force on the last entry, read from the time lines.
 async fn print_delays(published: &[(u64, u64)], entries: usize, port: u16) -> Result<()> {
     let mut delays = vec![0_u64; published.len()];
     for entry in 0..entries {
         let in_force = in_force(listener(entry, port, 2)).await?;
-        for (delay, (offset, began)) in delays.iter_mut().zip(published) {
+        for (delay, (offset, start_micros)) in delays.iter_mut().zip(published) {
             let times = in_force.iter().filter(|(version, _)| version >= offset);
             let Some(time) = times.map(|(_, time)| *time).min() else {
                 return Err(format!("entry {entry} never had {offset} in force").into());
             };
-            *delay = (*delay).max(time.saturating_sub(*began) / 1_000);
+            *delay = (*delay).max(time.saturating_sub(*start_micros) / 1_000);
         }
     }
     delays.sort_unstable();
@@ -316,7 +321,7 @@
     Ok(())
 }
 
-/// Reads versions and times in microseconds at which they came into force.
+/// Reads the configuration versions of an entry and the times, in microseconds, at which they came into force.
 async fn in_force(admin: SocketAddr) -> Result<Vec<(u64, u64)>> {
     let mut stream = TcpStream::connect(admin).await?;
     let request = "GET /timeline?limit=2000 HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n\r\n";
--- a/crates/daemon/examples/measure.sh
+++ b/crates/daemon/examples/measure.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Runs the example `capacity` with entry processes: measure.sh SIZE ENTRIES SECONDS PORT, after
+# Runs the example `capacity` and its entry processes: measure.sh SIZE ENTRIES SECONDS PORT. Build them first with
 #   cargo build --release -p sassafrascrank-daemon --bins --examples
-# It ends the entries by their process ids.
+# It stops the entries by their process ids.
 set -eu
 target=${CARGO_TARGET_DIR:-target}/release
 folder=$(mktemp -d)
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment over loopback sockets: platform, runners, entries and callers.
+//! A small deployment over loopback sockets, with a platform, runners, entries and callers.
 
 #![allow(
     dead_code,
@@ -42,7 +42,7 @@
     runner, //
 };
 
-/// Configuration of the tests: customer `vanua` with the credential `secret`, pool `quoting`.
+/// Configuration with customer `vanua`, whose credential is `secret`, and pool `quoting`.
 pub const DOCUMENT: &str = r#"{
     "customers": {
         "vanua": {
@@ -72,7 +72,7 @@
         Self::with_retention(platform::Settings::default().retention).await
     }
 
-    /// Does the same with a log that keeps that many records of each stream.
+    /// Like [`Deployment::start`], with a log that retains that many records of each stream.
     pub async fn with_retention(retention: usize) -> Self {
         let settings = platform::Settings {
             retention,
@@ -105,7 +105,7 @@
         process
     }
 
-    /// Returns how often the requests with this key have run.
+    /// Returns how often requests with this key have run, over all runners.
     pub fn runs(&self, key: &str) -> u32 {
         let runs = self.runners.iter().flat_map(Runner::runs_by_key);
         runs.filter(|(known, _)| known == key)
@@ -171,7 +171,7 @@
     }
 }
 
-/// A request with the usual headers; `changes` replace or add headers, an empty value removes one.
+/// Builds a request with the usual headers; `changes` replace or add headers, and an empty value removes one.
 pub fn request(
     method: &str,
     path: &str,
@@ -196,10 +196,10 @@
         .unwrap()
 }
 
-/// A connection that its caller keeps open.
-pub struct Kept(http1::SendRequest<Full<Bytes>>);
+/// A caller's connection that stays open between requests.
+pub struct KeepAliveConnection(http1::SendRequest<Full<Bytes>>);
 
-impl Kept {
+impl KeepAliveConnection {
     pub async fn open(address: SocketAddr) -> Self {
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.unwrap();
@@ -207,7 +207,7 @@
         Self(sender)
     }
 
-    /// Returns the status and whether the answer closes the connection; `None` if there was no whole answer.
+    /// Returns the status and whether the answer closes the connection; `None` if the answer was not complete.
     pub async fn send(&mut self, path: &str) -> Option<(u16, bool)> {
         self.0.ready().await.ok()?;
         let response = self
@@ -263,7 +263,7 @@
     format!("suva:{}", uuid::Uuid::now_v7())
 }
 
-/// Waits until the entry runs keyed requests, which needs a confirmed membership.
+/// Waits until the entry runs keyed requests, for which it needs a confirmed membership.
 pub async fn wait_until_keyed(address: SocketAddr) {
     for _ in 0..500 {
         let headers = [("idempotency-key", &*fresh_key())];
@@ -276,8 +276,8 @@
     panic!("the entry at {address} runs no keyed requests");
 }
 
-/// Reads a page of an operator's endpoint until `done` holds.
-pub async fn until(address: SocketAddr, path: &str, done: impl Fn(&Answer) -> bool) -> Answer {
+/// Polls an operator endpoint until `done` returns true for its answer.
+pub async fn wait_until(address: SocketAddr, path: &str, done: impl Fn(&Answer) -> bool) -> Answer {
     let mut last = String::new();
     for _ in 0..500 {
         if let Some(answer) = send(address, request("GET", path, &[], "")).await {
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole way of a request over real sockets.
+//! Requests from the caller through one entry to an upstream, over real sockets.
 
 mod common;
 
@@ -7,7 +7,7 @@
     fresh_key,
     request,
     send,
-    until,
+    wait_until,
     wait_until_keyed, //
 };
 use std::fmt::Write;
@@ -20,9 +20,10 @@
     &'static [(&'static str, &'static str)],
 );
 
-/// Guards against a request that is refused, changed or answered by something else than an upstream on its way.
+/// Guards against valid requests that do not reach an upstream unchanged, and against refusals with a wrong status,
+/// reason or outcome.
 #[tokio::test]
-async fn answers_come_from_upstreams_and_refusals_are_truthful() {
+async fn valid_requests_reach_an_upstream_and_invalid_ones_are_refused_with_the_reason() {
     let deployment = Deployment::start().await;
     let entry = deployment.entry("e1").await;
     let cases: &[Case] = &[
@@ -73,7 +74,7 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against a second run of a non-idempotent request whose caller retries, also while the first one runs.
+/// Guards against a second run of a non-idempotent request whose caller retries during or after the first run.
 #[tokio::test]
 async fn a_repeated_key_gets_the_same_answer_and_runs_once() {
     let deployment = Deployment::start().await;
@@ -117,10 +118,10 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against an entry that can't tell its operator what it did, and against an answer of known length that counts
-/// as cancelled because the server does not ask for the end of its body.
+/// Guards against operator endpoints without the status and events of a request, and against an answer with a known
+/// length that counts as cancelled because the server does not poll its body to the end.
 #[tokio::test]
-async fn operators_see_status_and_time_line() {
+async fn operator_endpoints_show_status_time_line_and_metrics() {
     let deployment = Deployment::start().await;
     let entry = deployment.entry("e1").await;
     let answer = send(entry.callers(), request("GET", "/quote", &[], ""))
@@ -129,23 +130,23 @@
     assert_eq!(answer.status, 200);
     let mut report = String::new();
     for path in ["/healthz", "/status", "/timeline?limit=2000", "/metrics"] {
-        let answer = until(entry.admin(), path, |answer| {
+        let answer = wait_until(entry.admin(), path, |answer| {
             match path {
                 "/healthz" => true,
-                // The status is published each second; the first one may be from before the pools were known.
+                // The status is updated each second; the first one may precede the configuration and lack its pools.
                 "/status" => answer.body.contains("\"pool\":\"quoting\""),
                 _ => answer.body.contains("answered"),
             }
         })
         .await;
-        let shown = [
+        let expected = [
             "\"customer\":\"vanua\"",
             "\"kind\":\"granted\"",
             "\"upstream\":\"w",
             "\"pool\":\"quoting\"",
             "configuration",
         ];
-        let shown: Vec<_> = shown
+        let shown: Vec<_> = expected
             .iter()
             .filter(|text| answer.body.contains(**text))
             .collect();
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -6,13 +6,13 @@
     Answer,
     DOCUMENT,
     Deployment,
-    Kept,
+    KeepAliveConnection,
     fresh_key,
     publish_document,
     request,
     send,
     send_on,
-    until,
+    wait_until,
     wait_until_keyed, //
 };
 use core::{
@@ -48,7 +48,7 @@
     format!("{name}: {} {} {body}\n", answer.status, answer.outcome())
 }
 
-/// Sends keys to the entry until each other entry has told where it listens for callers.
+/// Sends requests with new keys to the entry until it can forward to every other entry, which needs their reports.
 async fn wait_until_forwarding(from: SocketAddr, keys: usize) {
     for _ in 0..500 {
         let mut answered = 0;
@@ -64,7 +64,7 @@
     panic!("the entry at {from} does not forward");
 }
 
-/// Repeats an order as a caller does until its outcome is known, or for about 10 s.
+/// Repeats an order, as callers do, until it is answered, or for about 10 s.
 async fn repeat(address: SocketAddr, key: &str) -> Answer {
     let mut answer = send(address, order(key, "20")).await.unwrap();
     for _ in 0..100 {
@@ -77,21 +77,22 @@
     answer
 }
 
-/// Guards against two entries that each run the same key when a caller retries through the balancer.
+/// Guards against a key that runs at two entries when the load balancer sends a retry to the other entry.
 #[tokio::test]
-async fn a_key_runs_once_whichever_entry_gets_it() {
+async fn a_key_sent_to_two_entries_runs_once() {
     let deployment = Deployment::start().await;
     let first = deployment.entry("e1").await;
     let second = deployment.entry("e2").await;
-    let (a, b) = (first.callers(), second.callers());
-    wait_until_forwarding(a, 8).await;
-    wait_until_forwarding(b, 8).await;
+    let (first_address, second_address) = (first.callers(), second.callers());
+    wait_until_forwarding(first_address, 8).await;
+    wait_until_forwarding(second_address, 8).await;
     let mut report = String::new();
     let mut runs = 0;
     for _ in 0..20 {
         let key = fresh_key();
-        let (at_a, at_b) = tokio::join!(repeat(a, &key), repeat(b, &key));
-        for answer in [at_a, at_b] {
+        let (at_first, at_second) =
+            tokio::join!(repeat(first_address, &key), repeat(second_address, &key));
+        for answer in [at_first, at_second] {
             if answer.body != "POST /order timber" {
                 report += &line("not answered", &answer);
             }
@@ -104,36 +105,39 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against outcomes that are forgotten when their entry is stopped as planned.
+/// Guards against outcomes that are lost when their entry shuts down gracefully.
 #[tokio::test]
-async fn a_planned_stop_hands_outcomes_over() {
+async fn graceful_shutdown_hands_answers_over_to_peers() {
     let deployment = Deployment::start().await;
     let first = deployment.entry("e1").await;
     let second = deployment.entry("e2").await;
-    let (a, b) = (first.callers(), second.callers());
-    wait_until_forwarding(a, 8).await;
+    let (first_address, second_address) = (first.callers(), second.callers());
+    wait_until_forwarding(first_address, 8).await;
     let keys: Vec<String> = (0..20).map(|_| fresh_key()).collect();
     for key in &keys {
-        assert_eq!(send(a, order(key, "1")).await.unwrap().status, 200);
+        assert_eq!(
+            send(first_address, order(key, "1")).await.unwrap().status,
+            200
+        );
     }
     let stopped = tokio::task::spawn_blocking(move || first.shut_down());
     stopped.await.unwrap().unwrap();
-    let (mut same, mut runs) = (0, 0);
+    let (mut answered, mut runs) = (0, 0);
     for key in &keys {
-        let answer = repeat(b, key).await;
-        same += u32::from(answer.status == 200);
+        let answer = repeat(second_address, key).await;
+        answered += u32::from(answer.status == 200);
         runs += deployment.runs(key);
     }
     second.shut_down().unwrap();
     insta::assert_snapshot!(format!(
-        "20 keys repeated elsewhere: {same} same answers, {runs} runs"
+        "20 keys repeated elsewhere: {answered} same answers, {runs} runs"
     ));
 }
 
-/// Guards against keyed requests that stop, and configurations that are lost, while the log is away for longer than
-/// the lease of 5 s.
+/// Guards against refused keyed requests, and entries that start without a configuration, while the log is unavailable
+/// for longer than the lease of 5 s.
 #[tokio::test]
-async fn a_zone_goes_on_while_the_log_is_away() {
+async fn keyed_requests_run_while_the_log_is_unavailable() {
     let deployment = Deployment::start().await;
     let first = deployment.entry("e1").await;
     let second = deployment.entry("e2").await;
@@ -159,7 +163,7 @@
         "20 keys after 8 s without the log: {answered} answers, {runs} runs"
     )
     .unwrap();
-    let late = late_entry(&deployment, &second).await;
+    let late = start_entry_from_peer(&deployment, &second).await;
     let answer = send(late.callers(), request("GET", "/quote", &[], ""))
         .await
         .unwrap();
@@ -170,8 +174,8 @@
     insta::assert_snapshot!(report);
 }
 
-/// Starts an entry that knows only the peer, and waits until it has its configuration.
-async fn late_entry(deployment: &Deployment, peer: &Process) -> Process {
+/// Starts an entry whose only seed is the peer, and waits until it has fetched the configuration from it.
+async fn start_entry_from_peer(deployment: &Deployment, peer: &Process) -> Process {
     let mut settings = deployment.settings("e3");
     settings.seeds = vec![peer.peers()];
     let late = Process::start(settings, Options::default()).unwrap();
@@ -185,10 +189,10 @@
     panic!("the late entry got no configuration");
 }
 
-/// Guards against a planned stop that cuts requests, against answers that reach the wrong caller when upstreams
-/// answer late and out of order, and against a second run when callers retry.
+/// Guards against a graceful shutdown that interrupts requests, against answers that reach the wrong caller when
+/// upstreams answer late and out of order, and against a second run when callers retry.
 #[tokio::test]
-async fn a_planned_stop_under_load_cuts_nothing() {
+async fn graceful_shutdown_under_load_interrupts_no_request() {
     let deployment = Deployment::start().await;
     let first = deployment.entry("e1").await;
     let second = deployment.entry("e2").await;
@@ -217,9 +221,9 @@
     let mut total = Tally::default();
     for caller in callers {
         let tally = caller.await.unwrap();
-        total.cut += tally.cut;
-        total.foreign += tally.foreign;
-        total.untold += tally.untold;
+        total.interrupted += tally.interrupted;
+        total.misdelivered += tally.misdelivered;
+        total.without_outcome += tally.without_outcome;
         total.keys.extend(tally.keys);
     }
     let twice = total
@@ -230,56 +234,61 @@
     second.shut_down().unwrap();
     insta::assert_snapshot!(format!(
         "cut {}, foreign answers {}, refusals without an outcome {}, keys run twice {twice}",
-        total.cut, total.foreign, total.untold
+        total.interrupted, total.misdelivered, total.without_outcome
     ));
 }
 
+/// Counts of what a caller saw.
 #[derive(Default)]
 struct Tally {
-    cut: u32,
-    foreign: u32,
-    untold: u32,
+    /// Connections that broke before the whole answer.
+    interrupted: u32,
+    /// Answers that belong to another request.
+    misdelivered: u32,
+    /// Refusals that do not say whether the request ran.
+    without_outcome: u32,
+    /// Keys of all requests.
     keys: Vec<String>,
 }
 
-/// Guards against idle connections that are closed under the next request of their caller at a planned stop.
+/// Guards against a graceful shutdown that closes idle connections instead of serving the next request on them.
 #[tokio::test]
-async fn a_planned_stop_serves_the_next_request_of_an_idle_connection() {
+async fn graceful_shutdown_serves_the_next_request_of_an_idle_connection() {
     let deployment = Deployment::start().await;
     let entry = deployment.entry("e1").await;
     let mut connections = Vec::new();
     for _ in 0..20 {
-        let mut connection = Kept::open(entry.callers()).await;
+        let mut connection = KeepAliveConnection::open(entry.callers()).await;
         assert_eq!(connection.send("/first").await, Some((200, false)));
         connections.push(connection);
     }
     let stopped = tokio::task::spawn_blocking(move || entry.shut_down());
-    // The delay of the test's settings is 300 ms; by now the entry accepts no more connections.
+    // The shutdown delay in the test settings is 300 ms, so the entry no longer accepts connections.
     tokio::time::sleep(Duration::from_millis(800)).await;
-    let (mut answered, mut told) = (0, 0);
+    let (mut answered, mut told_to_close) = (0, 0);
     for connection in &mut connections {
         let answer = connection.send("/next").await;
         answered += u32::from(answer.is_some_and(|(status, _)| status == 200));
-        told += u32::from(answer.is_some_and(|(_, close)| close));
+        told_to_close += u32::from(answer.is_some_and(|(_, close)| close));
     }
     drop(connections);
     stopped.await.unwrap().unwrap();
     insta::assert_snapshot!(format!(
-        "answered {answered} of 20, told to go elsewhere {told}"
+        "answered {answered} of 20, told to go elsewhere {told_to_close}"
     ));
 }
 
-/// Guards against an entry that never runs a keyed request again after the others retired it while it was alive, as
-/// happens to a paused process.
+/// Guards against an entry that never runs a keyed request again after its peers retired it while it was alive, which
+/// happens when a process is paused.
 #[tokio::test]
-async fn a_retired_entry_that_is_alive_joins_again() {
+async fn a_live_entry_rejoins_after_it_was_retired() {
     let deployment = Deployment::start().await;
     let first = deployment.entry("e1").await;
     let second = deployment.entry("e2").await;
     wait_until_forwarding(first.callers(), 8).await;
     wait_until_forwarding(second.callers(), 8).await;
-    // Forwarding alone does not show that the first entry has read the join of the second one.
-    let status = until(first.admin(), "/status", |answer| {
+    // Forwarding does not prove that the first entry has read the join of the second one.
+    let status = wait_until(first.admin(), "/status", |answer| {
         answer.body.contains("\"e1\"") && answer.body.contains("\"e2\"")
     })
     .await;
@@ -300,7 +309,7 @@
         .platform
         .append("member", &retirement.to_string());
     let former = incarnation("e1");
-    let rejoined = until(second.admin(), "/status", |answer| {
+    let rejoined = wait_until(second.admin(), "/status", |answer| {
         answer.body.contains("\"e1\"") && !answer.body.contains(&former.to_string())
     });
     rejoined.await;
@@ -309,19 +318,19 @@
     insta::assert_snapshot!("both entries run keyed requests again");
 }
 
-/// Guards against members that a new entry does not know because their joins have expired from the log.
+/// Guards against a new entry that misses members because the records of their joins have expired from the log.
 #[tokio::test]
 async fn membership_outlives_the_retention_of_the_log() {
     let deployment = Deployment::with_retention(600).await;
     let first = deployment.entry("e1").await;
     wait_until_keyed(first.callers()).await;
-    // Records that no process can read still use up the log; the entry then writes a snapshot.
+    // Records that do not parse also count towards the retention of the log, so the entry has to write a snapshot.
     for _ in 0..3 {
         for _ in 0..400 {
             deployment.platform.append("member", "{}");
         }
         let read = format!("\"membership\":{}", deployment.platform.end("member"));
-        until(first.admin(), "/status", |answer| {
+        wait_until(first.admin(), "/status", |answer| {
             answer.body.contains(&read)
         })
         .await;
@@ -336,7 +345,7 @@
     let second = deployment.entry("e2").await;
     wait_until_forwarding(first.callers(), 8).await;
     wait_until_forwarding(second.callers(), 8).await;
-    let status = until(second.admin(), "/status", |answer| answer.status == 200).await;
+    let status = wait_until(second.admin(), "/status", |answer| answer.status == 200).await;
     let known = ["\"e1\"", "\"e2\""].map(|host| status.body.contains(host));
     let snapshots = deployment.platform.end("member") - end - 1;
     for process in [first, second] {
@@ -347,8 +356,8 @@
     ));
 }
 
-/// Sends quotes and orders in turn and repeats each one until it is answered; a refused connection means that the
-/// balancer goes to the other entry.
+/// Sends quotes and orders in turn and retries each one until it is answered. After a refused connection it tries the
+/// other entry, as a load balancer does.
 async fn caller(index: u32, entries: [SocketAddr; 2], running: Arc<AtomicBool>) -> Tally {
     let mut tally = Tally::default();
     let mut turn = 0;
@@ -366,23 +375,23 @@
                 _ => request("GET", "/quote", &[], &body),
             };
             let Some(answer) = send_on(stream, request).await else {
-                tally.cut += 1;
+                tally.interrupted += 1;
                 continue;
             };
             if answer.outcome() == "answered" {
-                tally.foreign += u32::from(!answer.body.ends_with(&format!(" {body}")));
+                tally.misdelivered += u32::from(!answer.body.ends_with(&format!(" {body}")));
                 break;
             }
-            tally.untold += u32::from(!["not-run", "unknown"].contains(&answer.outcome()));
+            tally.without_outcome += u32::from(!["not-run", "unknown"].contains(&answer.outcome()));
         }
         tally.keys.push(key);
     }
     tally
 }
 
-/// Guards against an entry that goes back to an older configuration, or never learns of a newer one.
+/// Guards against an entry that returns to an older configuration or never applies a newer one.
 #[tokio::test]
-async fn a_newer_configuration_comes_into_force_everywhere() {
+async fn a_newer_configuration_takes_effect_on_all_entries() {
     let deployment = Deployment::start().await;
     let first = deployment.entry("e1").await;
     let second = deployment.entry("e2").await;
