--- a/crates/daemon/src/peer/port.rs
+++ b/crates/daemon/src/peer/port.rs
@@ -30,7 +30,7 @@
 };
 use std::sync::Arc;
 
-/// PeerReport of another entry, in the form that the dispatch thread needs.
+/// Report of another entry, in the form that the dispatch thread needs.
 #[derive(Clone, Debug)]
 pub struct PeerReport {
     /// The entry that sent the report.
--- a/crates/daemon/src/platform/follower.rs
+++ b/crates/daemon/src/platform/follower.rs
@@ -85,7 +85,7 @@
     schedule: Schedule,
     log_lost_since: Option<Time>,
     /// Rounds until the configuration and the host list are read again.
-    rounds_left: u32,
+    rounds_until_read: u32,
     port: Port,
     clock: fn() -> Time,
 }
@@ -105,7 +105,7 @@
             appender: Appender::new(me.host.clone(), me.incarnation, me.incarnation),
             schedule: Schedule::new(RETENTION, me.incarnation, clock()),
             log_lost_since: None,
-            rounds_left: 0,
+            rounds_until_read: 0,
             port,
             clock,
         }
@@ -115,17 +115,17 @@
     pub async fn run(mut self) {
         while self.port.stop.try_recv().is_none() {
             let next = Instant::now() + POLL_INTERVAL;
-            self.import().await;
-            let read_all = self.rounds_left == 0;
-            self.rounds_left = self
-                .rounds_left
+            self.import_peer_state().await;
+            let read_all = self.rounds_until_read == 0;
+            self.rounds_until_read = self
+                .rounds_until_read
                 .checked_sub(1)
                 .unwrap_or(CONFIGURATION_READ_ROUNDS - 1);
             let result = self.follow_log(read_all).await;
             self.record_log_state(&result);
             if result.is_err() {
                 // Reading again in the next round leaves time for two attempts within the 8 s.
-                self.rounds_left = 0;
+                self.rounds_until_read = 0;
             }
             if read_all && let Ok(Some(hosts)) = self.platform.hosts().await {
                 self.hosts = hosts.into_iter().map(from_platform_host).collect();
@@ -198,7 +198,7 @@
     }
 
     /// Imports newer state from peers; needed while the log is unavailable or after it has dropped old records.
-    async fn import(&mut self) {
+    async fn import_peer_state(&mut self) {
         while let Some(state) = self.port.states.try_recv() {
             if let Some(image) = state.config {
                 // An image that fails validation is ignored; the current configuration stays in force.
