--- a/crates/observe/benches/event.rs
+++ b/crates/observe/benches/event.rs
@@ -1,4 +1,4 @@
-//! Cost of one event on the recording thread and on the observe thread.
+//! Cost of an event on the recording thread and of the events of a request on the observe thread.
 
 use divan::{
     AllocProfiler,
@@ -37,7 +37,7 @@
     Name::new(text).expect("benchmark names are valid")
 }
 
-/// Makes the four events of an answered request, and the names in them.
+/// Returns the four events of an answered request, and the names of their keys.
 fn request_events() -> ([Event; 4], Names) {
     let mut customers = SlotMap::<customer::Key, ()>::with_key();
     let mut pools = SlotMap::<pool::Key, ()>::with_key();
@@ -63,7 +63,7 @@
     )
 }
 
-/// Records an event into a ring with room and takes it out again.
+/// Records an event into a ring that isn't full and takes it out again.
 #[divan::bench]
 fn record(bencher: Bencher<'_, '_>) {
     let (mut sink, mut source) = event::ring("dispatch", 8_192, &Signal::new());
@@ -76,7 +76,7 @@
 
 /// Resolves, stores and counts the four events of an answered request.
 #[divan::bench]
-fn absorb_request(bencher: Bencher<'_, '_>) {
+fn store_and_count_request(bencher: Bencher<'_, '_>) {
     let (events, names) = request_events();
     let process = Process {
         host: name("suva-1"),
--- a/crates/observe/tests/admin.rs
+++ b/crates/observe/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The running thread must show operators what the other threads recorded, and must stop.
+//! The observe thread as a whole: its admin endpoint, its log and its stop.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_observe::{
@@ -61,7 +61,7 @@
     request, //
 };
 
-/// Producing ends of the rings of the thread under test.
+/// Producing ends of the rings of the observe thread under test.
 struct Rings {
     exchange: Sink,
     dispatch: Sink,
@@ -69,18 +69,18 @@
     updates: Sender<Update>,
 }
 
-/// A running thread with the producing ends of its rings.
-struct Rig {
+/// A running observe thread with the producing ends of its rings.
+struct Fixture {
     address: SocketAddr,
     rings: Rings,
     log: Arc<WriteSink<Vec<u8>>>,
     handle: Handle,
 }
 
-/// Present time of the thread under test.
+/// Current time of the observe thread under test.
 const NOW: Time = Time::from_millis(90_000);
 
-impl Rig {
+impl Fixture {
     /// Starts the thread after `prepare` has filled the rings.
     fn start(prepare: impl FnOnce(&mut Rings)) -> Self {
         let signal = Signal::new();
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Sends a request and returns the answer without the header lines that vary or don't matter.
-    fn ask(&self, method: &str, target: &str) -> String {
+    /// Sends a request and returns the response with only its status line, content type and body.
+    fn request(&self, method: &str, target: &str) -> String {
         let mut stream = TcpStream::connect(self.address).expect("the endpoint listens");
         write!(
             stream,
@@ -148,16 +148,16 @@
         )
     }
 
-    /// Asks until the answer contains `text`, because rings are drained at intervals.
-    fn ask_until(&self, target: &str, text: &str) -> String {
+    /// Repeats a GET request until the response contains `text`, because the rings are read at intervals.
+    fn get_until(&self, target: &str, text: &str) -> String {
         for _ in 0..2_000 {
-            let answer = self.ask("GET", target);
+            let answer = self.request("GET", target);
             if answer.contains(text) {
                 return answer;
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        panic!("no {text:?} in {}", self.ask("GET", target));
+        panic!("no {text:?} in {}", self.request("GET", target));
     }
 }
 
@@ -166,7 +166,7 @@
         self.updates.send(update).expect("the ring has room");
     }
 
-    /// Records one request over two threads, a drain and the loss of the log.
+    /// Records the events of a request that two threads handle, of a draining upstream and of the loss of the log.
     fn record(&mut self) {
         let mut customers = SlotMap::<customer::Key, ()>::with_key();
         let mut pools = SlotMap::<pool::Key, ()>::with_key();
@@ -236,25 +236,25 @@
     }
 }
 
-/// Guards against an endpoint that answers wrongly or not at all, or shows events of two threads out of order.
+/// Guards against a path that gives a wrong response or none, and against events of two threads shown out of order.
 #[test]
-fn answers_operators() {
-    let mut rig = Rig::start(Rings::record);
-    let mut answers = rig.ask("GET", "/healthz");
-    rig.rings.update(Update::Platform(platform()));
-    rig.rings.update(Update::Engine(engine()));
-    rig.rings.update(Update::Phase(Phase::Serving));
-    answers += &rig.ask_until("/healthz", "serving");
-    answers += &rig.ask_until("/timeline", "log-lost");
-    answers += &rig.ask(
+fn paths_return_what_threads_recorded() {
+    let mut fixture = Fixture::start(Rings::record);
+    let mut answers = fixture.request("GET", "/healthz");
+    fixture.rings.update(Update::Platform(platform()));
+    fixture.rings.update(Update::Engine(engine()));
+    fixture.rings.update(Update::Phase(Phase::Serving));
+    answers += &fixture.get_until("/healthz", "serving");
+    answers += &fixture.get_until("/timeline", "log-lost");
+    answers += &fixture.request(
         "GET",
         "/timeline?request=0f16f495adf9424d-1&since=3&limit=1",
     );
-    answers += &rig.ask("GET", "/timeline?pool=Quoting");
-    answers += &rig.ask_until("/status", "runner-1");
-    answers += &rig.ask("GET", "/");
-    answers += &rig.ask("POST", "/status");
-    let scrape = rig.ask("GET", "/metrics");
+    answers += &fixture.request("GET", "/timeline?pool=Quoting");
+    answers += &fixture.get_until("/status", "runner-1");
+    answers += &fixture.request("GET", "/");
+    answers += &fixture.request("POST", "/status");
+    let scrape = fixture.request("GET", "/metrics");
     let shown = |line: &&str| !line.starts_with("sassafrascrank") || line.contains("_total{");
     let scrape: Vec<_> = scrape
         .lines()
@@ -262,59 +262,66 @@
         .filter(shown)
         .collect();
     answers += &scrape.join("\n");
-    rig.handle.stop().expect("the thread stops");
+    fixture.handle.stop().expect("the thread stops");
     insta::assert_snapshot!(answers);
 }
 
-/// Guards against a balancer that still sends requests to a process that shuts down, and a late report that hides
-/// the shutdown.
+/// Guards against a load balancer that still sends requests to a process in shutdown because `/healthz` succeeds or a
+/// late status update hides the shutdown.
 #[test]
-fn shutdown_is_unhealthy() {
-    let mut rig = Rig::start(|_| ());
-    rig.rings.update(Update::Phase(Phase::Serving));
-    rig.ask_until("/healthz", "200 OK");
-    rig.rings
+fn shutdown_fails_the_health_check() {
+    let mut fixture = Fixture::start(|_| ());
+    fixture.rings.update(Update::Phase(Phase::Serving));
+    fixture.get_until("/healthz", "200 OK");
+    fixture
+        .rings
         .dispatch
         .record(Event::new(NOW, Kind::ShutdownBegun));
-    rig.ask_until("/healthz", "503");
-    rig.rings.update(Update::Phase(Phase::Serving));
-    rig.rings.update(Update::Platform(platform()));
-    rig.ask_until("/status", "suva-2");
-    let answer = rig.ask("GET", "/healthz");
-    rig.handle.stop().expect("the thread stops");
+    fixture.get_until("/healthz", "503");
+    fixture.rings.update(Update::Phase(Phase::Serving));
+    fixture.rings.update(Update::Platform(platform()));
+    fixture.get_until("/status", "suva-2");
+    let answer = fixture.request("GET", "/healthz");
+    fixture.handle.stop().expect("the thread stops");
     insta::assert_snapshot!(answer);
 }
 
-/// Guards against log lines for each request or each failed append, and against events lost at the stop.
+/// Guards against log lines for each request or each failed append, and against events lost when the thread stops.
 #[test]
 fn only_changes_of_state_are_logged() {
-    let rig = Rig::start(Rings::record);
-    rig.handle.stop().expect("the thread stops");
-    let log = rig.log.clone_target();
+    let fixture = Fixture::start(Rings::record);
+    fixture.handle.stop().expect("the thread stops");
+    let log = fixture.log.clone_target();
     insta::assert_snapshot!(String::from_utf8(log).expect("the log is text"));
 }
 
-/// Guards against events that are held back for as long as the clock was set back.
+/// Guards against events that are held back until a clock that was set back catches up.
 #[test]
-fn events_of_the_future_are_shown() {
-    let mut rig = Rig::start(|_| ());
+fn events_with_future_times_are_shown() {
+    let mut fixture = Fixture::start(|_| ());
     let later = NOW + Duration::from_secs(3_600);
-    rig.rings.dispatch.record(Event::new(later, Kind::PeerLost));
-    rig.rings
+    fixture
+        .rings
+        .dispatch
+        .record(Event::new(later, Kind::PeerLost));
+    fixture
+        .rings
         .exchange
         .record(Event::new(later + Duration::from_secs(1), Kind::PeerFound));
-    rig.ask_until("/timeline", "peer-found");
-    rig.handle.stop().expect("the thread stops");
+    fixture.get_until("/timeline", "peer-found");
+    fixture.handle.stop().expect("the thread stops");
 }
 
-/// Guards against closed connections that keep their place among the 64 that are served at once.
+/// Guards against closed connections that keep their slots among the 64 connections that are served at once.
 #[test]
-fn closed_connections_free_their_place() {
-    let rig = Rig::start(|_| ());
+fn closed_connections_free_their_slots() {
+    let fixture = Fixture::start(|_| ());
     for _ in 0..3 {
-        let idle: Vec<_> = (0..64).map(|_| TcpStream::connect(rig.address)).collect();
+        let idle: Vec<_> = (0..64)
+            .map(|_| TcpStream::connect(fixture.address))
+            .collect();
         assert!(idle.iter().all(Result::is_ok));
     }
-    assert!(rig.ask("GET", "/healthz").contains("starting"));
-    rig.handle.stop().expect("the thread stops");
+    assert!(fixture.request("GET", "/healthz").contains("starting"));
+    fixture.handle.stop().expect("the thread stops");
 }
--- a/crates/observe/tests/collector.rs
+++ b/crates/observe/tests/collector.rs
@@ -1,4 +1,4 @@
-//! Events of several threads must be drained in an order that puts causes first.
+//! Collection of events of several threads in causal order.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_observe::{
@@ -13,14 +13,14 @@
 use sassafrascrank_ring::Signal;
 
 /// A collector of two event rings, with a clock that the test sets.
-struct Rig {
+struct Fixture {
     exchange: Sink,
     dispatch: Sink,
     collector: Collector,
-    seen: String,
+    output: String,
 }
 
-impl Rig {
+impl Fixture {
     fn new() -> Self {
         let signal = Signal::new();
         let (exchange, first) = event::ring("exchange", 8, &signal);
@@ -29,23 +29,23 @@
             exchange,
             dispatch,
             collector: Collector::new(vec![first, second], Vec::new(), Vec::new()),
-            seen: String::new(),
+            output: String::new(),
         }
     }
 
-    /// Notes what is drained at `now`.
-    fn batch(&mut self, now: u64) {
+    /// Collects a batch at `now` milliseconds and appends its events to the output.
+    fn collect(&mut self, now: u64) {
         let batch = self.collector.batch(Time::from_millis(now));
         let events = batch
             .events
             .iter()
             .map(|event| format!(" {}@{}", event.kind, event.time.as_millis()));
-        let empty = if self.collector.is_empty() {
+        let remainder = if self.collector.is_empty() {
             "empty"
         } else {
             "more"
         };
-        self.seen += &format!("at {now}:{} ({empty})\n", events.collect::<String>());
+        self.output += &format!("at {now}:{} ({remainder})\n", events.collect::<String>());
     }
 }
 
@@ -53,30 +53,30 @@
     Event::new(Time::from_millis(millis), kind)
 }
 
-/// Guards against an effect that is drained before its cause, which reached a ring that was looked at already.
+/// Guards against an effect that is collected before its cause because the cause reached a ring that was read before.
 #[test]
 fn causes_come_before_effects() {
-    let mut rig = Rig::new();
-    rig.dispatch.record(event(10, Kind::PeerFound));
-    rig.dispatch.record(event(30, Kind::Queued));
-    rig.batch(20);
-    rig.exchange.record(event(25, Kind::Arrived));
-    rig.batch(40);
-    rig.dispatch.record(event(50, Kind::Queued));
-    rig.exchange.record(event(50, Kind::Arrived));
-    rig.batch(50);
-    insta::assert_snapshot!(rig.seen);
+    let mut fixture = Fixture::new();
+    fixture.dispatch.record(event(10, Kind::PeerFound));
+    fixture.dispatch.record(event(30, Kind::Queued));
+    fixture.collect(20);
+    fixture.exchange.record(event(25, Kind::Arrived));
+    fixture.collect(40);
+    fixture.dispatch.record(event(50, Kind::Queued));
+    fixture.exchange.record(event(50, Kind::Arrived));
+    fixture.collect(50);
+    insta::assert_snapshot!(fixture.output);
 }
 
-/// Guards against events that wait until a clock that was set back has caught up, and against events of one thread
-/// that change their order.
+/// Guards against events that are held back until a clock that was set back catches up, and against a changed order of
+/// the events of one thread.
 #[test]
-fn clock_set_back_delays_one_batch() {
-    let mut rig = Rig::new();
-    rig.dispatch.record(event(900, Kind::Queued));
-    rig.dispatch.record(event(100, Kind::Granted));
-    rig.exchange.record(event(105, Kind::Answered));
-    rig.batch(110);
-    rig.batch(111);
-    insta::assert_snapshot!(rig.seen);
+fn clock_set_back_delays_events_by_one_batch() {
+    let mut fixture = Fixture::new();
+    fixture.dispatch.record(event(900, Kind::Queued));
+    fixture.dispatch.record(event(100, Kind::Granted));
+    fixture.exchange.record(event(105, Kind::Answered));
+    fixture.collect(110);
+    fixture.collect(111);
+    insta::assert_snapshot!(fixture.output);
 }
--- a/crates/observe/tests/event.rs
+++ b/crates/observe/tests/event.rs
@@ -1,4 +1,4 @@
-//! Recording an event must never wait, and a lost event must be counted.
+//! Recording of events, and request ids.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_observe::event::{
@@ -12,7 +12,7 @@
 
 mod support;
 
-/// Guards against a full ring that blocks the recording thread, overwrites events or loses them without a count.
+/// Guards against a full ring that blocks the recording thread, overwrites events or drops them without counting.
 #[test]
 fn full_ring_drops_and_counts() {
     let (mut sink, mut source) = event::ring("dispatch", 3, &Signal::new());
@@ -31,13 +31,13 @@
     ));
 }
 
-/// Guards against an event that outgrows the rings: at 88 bytes, a ring of 8,192 events takes 704 KiB.
+/// Guards against larger events, which would make the rings larger: at 88 bytes, a ring of 8,192 events takes 704 KiB.
 #[test]
-fn event_is_small() {
+fn event_size_is_bounded() {
     assert!(size_of::<Event>() <= 88, "{} bytes", size_of::<Event>());
 }
 
-/// Guards against two threads or two incarnations that make the same request id.
+/// Guards against two threads or two incarnations of a process that assign the same request id.
 #[test]
 fn request_ids_are_unique() {
     let host = support::name("suva-1");
@@ -52,12 +52,12 @@
     assert_eq!(ids.len(), 400);
 }
 
-/// Guards against ids that don't survive the header in which an entry forwards them, and against accepting others.
+/// Guards against request ids that change when an entry forwards them in a header, and against accepting invalid ones.
 #[test]
-fn request_ids_are_parsed_back() {
+fn request_ids_round_trip_through_text() {
     let id = support::request(255);
     assert_eq!(id.to_string().parse(), Ok(id));
-    let wrong = [
+    let invalid = [
         "",
         "-",
         "12-1",
@@ -66,6 +66,7 @@
         "0f16f495adf9424d-+1",
         "0f16f495adf9424d",
     ];
-    let refused = wrong.map(|text| format!("{text:?}: {}\n", text.parse::<request::Id>().is_err()));
+    let refused =
+        invalid.map(|text| format!("{text:?}: {}\n", text.parse::<request::Id>().is_err()));
     insta::assert_snapshot!(refused.concat());
 }
--- a/crates/observe/tests/merge.rs
+++ b/crates/observe/tests/merge.rs
@@ -1,4 +1,4 @@
-//! The merged order must not put an effect before its cause, whatever the clocks say.
+//! Merge of several time lines: no effect may come before its cause, whatever the clocks show.
 
 use rand::{
     RngExt,
@@ -28,81 +28,85 @@
     request, //
 };
 
-/// Position of a record: process and sequence.
-type Place = (usize, u64);
+/// Position of a record: index of the process and sequence.
+type Position = (usize, u64);
 
-/// Three processes that forward requests and publish configurations, with skewed clocks.
-struct World {
+/// Simulation of three processes that forward requests and publish configurations, with skewed clocks.
+struct Simulation {
     random: StdRng,
     processes: Vec<Arc<Process>>,
-    /// Difference of each clock from the true time in milliseconds, up to 1 s either way, plus 1 s.
-    skews: Vec<u64>,
-    now: u64,
-    lines: Vec<Vec<Record>>,
+    /// Offset of each clock in milliseconds, from 0 to 2,000, so that two clocks differ by less than 2 s.
+    clock_offsets_ms: Vec<u64>,
+    /// True time in milliseconds.
+    now_ms: u64,
+    /// Time line of each process.
+    timelines: Vec<Vec<Record>>,
+    /// Offset of the configuration in force at each process.
     configurations: Vec<u64>,
-    /// Every cause with its effect, as the simulation produced them.
-    edges: Vec<(Place, Place)>,
-    /// What will happen later: the cause, the process, and the step.
-    later: Vec<(Place, usize, Step)>,
+    /// Pairs of a cause and its effect, as the simulation produced them.
+    edges: Vec<(Position, Position)>,
+    /// Steps that are still to run: the cause, the process and the step.
+    pending: Vec<(Position, usize, Step)>,
 }
 
 #[derive(Clone, Copy)]
+/// An effect of a record at another process.
 enum Step {
+    /// Serves a forwarded request; `lost` means that the answer doesn't reach `from`.
     Serve {
         request: u64,
         from: usize,
         lost: bool,
     },
-    Relay {
-        request: u64,
-    },
-    Apply {
-        configuration: u64,
-    },
+    /// Passes on the answer of the process that the request was forwarded to.
+    Relay { request: u64 },
+    /// Puts a published configuration into force.
+    Apply { configuration: u64 },
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         Self {
             processes: ["suva-1", "lautoka-1", "nadi-1"].map(process).to_vec(),
-            skews: (0..3).map(|_| random.random_range(0..2_000)).collect(),
-            now: 10_000,
-            lines: vec![Vec::new(); 3],
+            clock_offsets_ms: (0..3).map(|_| random.random_range(0..2_000)).collect(),
+            now_ms: 10_000,
+            timelines: vec![Vec::new(); 3],
             configurations: vec![0; 3],
             edges: Vec::new(),
-            later: Vec::new(),
+            pending: Vec::new(),
             random,
         }
     }
 
-    /// Appends a record at the present time of the clock of process `at`.
-    fn log(&mut self, at: usize, kind: Kind, set: impl FnOnce(&mut Record)) -> Place {
-        self.now += self.random.random_range(0..3);
-        let sequence = self.lines[at].len() as u64 + 1;
+    /// Appends a record of process `at`, with the current time of its clock.
+    fn append(&mut self, at: usize, kind: Kind, set: impl FnOnce(&mut Record)) -> Position {
+        self.now_ms += self.random.random_range(0..3);
+        let sequence = self.timelines[at].len() as u64 + 1;
         let mut record = record(
             &self.processes[at],
             sequence,
-            self.now + self.skews[at],
+            self.now_ms + self.clock_offsets_ms[at],
             kind,
         );
         record.configuration = self.configurations[at];
         set(&mut record);
-        self.lines[at].push(record);
+        self.timelines[at].push(record);
         (at, sequence)
     }
 
-    fn about(&mut self, at: usize, kind: Kind, number: u64) -> Place {
-        self.log(at, kind, |record| record.request = Some(request(number)))
+    /// Appends a record about request `number` at process `at`.
+    fn append_request(&mut self, at: usize, kind: Kind, number: u64) -> Position {
+        self.append(at, kind, |record| record.request = Some(request(number)))
     }
 
-    /// A request arrives at `from` and goes on to `to`, now and then twice since the first answer was lost.
+    /// Lets a request arrive at `from`, which forwards it to `to`, sometimes twice because the first answer is lost.
     fn forward(&mut self, number: u64, from: usize, to: usize) {
-        self.about(from, Kind::Arrived, number);
+        self.append_request(from, Kind::Arrived, number);
         let repeated = self.random.random_bool(0.2);
         for lost in [true, false].into_iter().skip(usize::from(!repeated)) {
             let host = self.processes[to].host.clone();
-            let sent = self.log(from, Kind::Forwarded, |record| {
+            let sent = self.append(from, Kind::Forwarded, |record| {
                 record.request = Some(request(number));
                 record.member = Some(host);
             });
@@ -111,27 +115,29 @@
                 from,
                 lost,
             };
-            self.later.push((sent, to, step));
+            self.pending.push((sent, to, step));
         }
     }
 
+    /// Lets process `at` publish a configuration, which the other processes apply later.
     fn publish(&mut self, at: usize, configuration: u64) {
-        let published = self.log(at, Kind::ConfigurationPublished, |record| {
+        let published = self.append(at, Kind::ConfigurationPublished, |record| {
             record.configuration = configuration;
         });
         for to in (0..3).filter(|to| *to != at) {
-            self.later
+            self.pending
                 .push((published, to, Step::Apply { configuration }));
         }
     }
 
-    fn run_later(&mut self) {
-        let chosen = self.random.random_range(0..self.later.len());
-        // A repeat arrives after the request that it repeats.
+    /// Runs one of the pending steps, chosen at random.
+    fn run_pending_step(&mut self) {
+        let chosen = self.random.random_range(0..self.pending.len());
+        // A repeated request arrives after the first one.
         let serves = |step: &Step| matches!(step, Step::Serve { .. });
-        let (_, to, step) = self.later[chosen];
+        let (_, to, step) = self.pending[chosen];
         let first = self
-            .later
+            .pending
             .iter()
             .position(|(_, at, other)| *at == to && serves(other));
         let chosen = if serves(&step) {
@@ -139,25 +145,25 @@
         } else {
             chosen
         };
-        let (cause, at, step) = self.later.remove(chosen);
+        let (cause, at, step) = self.pending.remove(chosen);
         let effect = match step {
             Step::Serve {
                 request,
                 from,
                 lost,
             } => {
-                let arrived = self.about(at, Kind::Arrived, request);
-                let answered = self.about(at, Kind::Answered, request);
+                let arrived = self.append_request(at, Kind::Arrived, request);
+                let answered = self.append_request(at, Kind::Answered, request);
                 if !lost {
-                    self.later.push((answered, from, Step::Relay { request }));
+                    self.pending.push((answered, from, Step::Relay { request }));
                 }
                 arrived
             }
-            Step::Relay { request } => self.about(at, Kind::Answered, request),
+            Step::Relay { request } => self.append_request(at, Kind::Answered, request),
             Step::Apply { configuration } if configuration <= self.configurations[at] => return,
             Step::Apply { configuration } => {
                 self.configurations[at] = configuration;
-                self.log(at, Kind::ConfigurationInForce, |_| ())
+                self.append(at, Kind::ConfigurationInForce, |_| ())
             }
         };
         self.edges.push((cause, effect));
@@ -169,64 +175,64 @@
             match self.random.random_range(0..4) {
                 0 => self.publish(from, number),
                 1 => {
-                    self.about(from, Kind::Arrived, number);
-                    self.about(from, Kind::Answered, number);
+                    self.append_request(from, Kind::Arrived, number);
+                    self.append_request(from, Kind::Answered, number);
                 }
                 _ => {
                     let to = (from + self.random.random_range(1..3)) % 3;
                     self.forward(number, from, to);
                 }
             }
-            while !self.later.is_empty() && self.random.random_bool(0.6) {
-                self.run_later();
+            while !self.pending.is_empty() && self.random.random_bool(0.6) {
+                self.run_pending_step();
             }
         }
-        while !self.later.is_empty() {
-            self.run_later();
+        while !self.pending.is_empty() {
+            self.run_pending_step();
         }
     }
 }
 
-/// Guards against an order in which a skewed clock puts an effect before its cause, loses or repeats a record.
+/// Guards against a merge that puts an effect before its cause because of a skewed clock, or loses or repeats a record.
 #[test]
-fn merged_order_is_causal_under_every_skew() {
+fn merged_order_is_causal_despite_clock_skew() {
     for seed in 0..300 {
-        let mut world = World::new(seed);
-        world.run();
-        let mut records = world.lines.concat();
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        let mut records = simulation.timelines.concat();
         let total = records.len();
         records.extend_from_within(..total / 10);
-        records.shuffle(&mut world.random);
+        records.shuffle(&mut simulation.random);
 
         let merged = merge(records);
 
         assert_eq!(merged.len(), total, "seed {seed}: every record once");
-        let place = |record: &Record| {
-            let process = world
+        let position = |record: &Record| {
+            let process = simulation
                 .processes
                 .iter()
                 .position(|process| *process == record.process);
             (process.expect("a known process"), record.sequence)
         };
-        let places: HashMap<Place, usize> = merged.iter().map(place).zip(0..).collect();
-        for (at, line) in world.lines.iter().enumerate() {
-            for sequence in 1..line.len() as u64 {
-                let ordered = places[&(at, sequence)] < places[&(at, sequence + 1)];
+        let indices: HashMap<Position, usize> = merged.iter().map(position).zip(0..).collect();
+        for (at, timeline) in simulation.timelines.iter().enumerate() {
+            for sequence in 1..timeline.len() as u64 {
+                let ordered = indices[&(at, sequence)] < indices[&(at, sequence + 1)];
                 assert!(ordered, "seed {seed}: process {at} at sequence {sequence}");
             }
         }
-        for (cause, effect) in &world.edges {
+        for (cause, effect) in &simulation.edges {
             assert!(
-                places[cause] < places[effect],
+                indices[cause] < indices[effect],
                 "seed {seed}: {cause:?} before {effect:?}"
             );
         }
     }
 }
 
-/// A keyed request that `suva-1` forwards to `nadi-1`, whose clock is 1 s late, under a configuration that
-/// `lautoka-1`, whose clock is 1 s early, publishes.
-fn story() -> Vec<Record> {
+/// Returns the records of a keyed request that `suva-1` forwards to `nadi-1`, whose clock is 1 s late, under a
+/// configuration that `lautoka-1`, whose clock is 1 s early, publishes.
+fn forwarded_request() -> Vec<Record> {
     let [suva, lautoka, nadi] = ["suva-1", "lautoka-1", "nadi-1"].map(process);
     let with = |mut record: Record, configuration: u64| {
         record.configuration = configuration;
@@ -254,16 +260,16 @@
     ]
 }
 
-/// Guards against a merged order that operators can't follow.
+/// Guards against a merge of several processes that shows a forwarded request out of order.
 #[test]
 fn merges_three_processes() {
-    insta::assert_snapshot!(lines(&merge(story())));
+    insta::assert_snapshot!(lines(&merge(forwarded_request())));
 }
 
-/// Guards against records that are lost, or a merge that never ends, when a process learns that its append took
-/// effect only after it has seen a consequence on another process.
+/// Guards against lost records or an endless merge if the ordering rules contradict each other: a process learns that
+/// its append took effect only after it has received a request from a process that already applied it.
 #[test]
-fn keeps_all_records_of_a_contradiction() {
+fn contradictory_rules_keep_all_records() {
     let [suva, nadi] = ["suva-1", "nadi-1"].map(process);
     let mut records = vec![
         record(&nadi, 1, 10, Kind::ConfigurationInForce),
--- a/crates/observe/tests/metrics.rs
+++ b/crates/observe/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics must tell operators what happened, within a bounded number of label sets.
+//! Content of a scrape, and the limits on its label sets.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_observe::{
@@ -76,7 +76,7 @@
 
 /// Guards against a metric that is missing, misnamed, mislabelled or in another unit than documented.
 #[test]
-fn scrape_of_a_small_scenario() {
+fn scrape_has_documented_names_labels_and_units() {
     let mut registry = Registry::new().expect("metrics can be set up");
     let mut granted = ended("alba", "quoting", Kind::Granted);
     granted.detail = 2_000;
@@ -108,7 +108,7 @@
     insta::assert_snapshot!(registry.scrape().expect("metrics can be encoded"));
 }
 
-/// Guards against a scrape that grows with the number of customers and pools, or loses the ones above the bound.
+/// Guards against a scrape that grows without limit with customers and pools, or doesn't count those above the limit.
 #[test]
 fn label_sets_are_bounded() {
     let mut registry = Registry::new().expect("metrics can be set up");
@@ -144,7 +144,7 @@
     ));
 }
 
-/// Guards against a bound that forgets what it has admitted.
+/// Guards against a bound that rejects a key that it admitted before.
 #[test]
 fn admitted_keys_stay_admitted() {
     let mut bound = Bound::new(2);
@@ -152,9 +152,9 @@
     insta::assert_snapshot!(format!("{admitted:?}"));
 }
 
-/// Guards against gauges of a pool that no longer exists.
+/// Guards against gauges that still report a pool after its removal.
 #[test]
-fn removed_pools_leave_the_scrape() {
+fn removed_pools_are_not_scraped() {
     let registry = Registry::new().expect("metrics can be set up");
     let queues = |registry: &Registry| {
         let scrape = registry.scrape().expect("metrics can be encoded");
--- a/crates/observe/tests/support/mod.rs
+++ b/crates/observe/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Names and records for tests.
+//! Names, request ids and records for tests.
 
-// Each test file is a program of its own and uses a part of this module.
+// Each test file is a crate of its own and uses only a part of this module.
 #![allow(dead_code)]
 
 use sassafrascrank_base::prelude::*;
@@ -27,13 +27,13 @@
     })
 }
 
-/// Request number `count` that arrived first at `suva-1`.
+/// Returns the id of request number `count` that arrived first at `suva-1`.
 pub(crate) fn request(count: u64) -> request::Id {
     let origin = request::Origin::new(&name("suva-1"), 7);
     request::Id { origin, count }
 }
 
-/// A record of nothing in particular.
+/// Returns a record without optional fields.
 pub(crate) fn record(process: &Arc<Process>, sequence: u64, millis: u64, kind: Kind) -> Record {
     Record {
         process: Arc::clone(process),
@@ -53,7 +53,7 @@
     }
 }
 
-/// One line for each record.
+/// Formats the records, one a line.
 pub(crate) fn lines(records: &[Record]) -> String {
     records.iter().map(|record| format!("{record}\n")).collect()
 }
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line must stay bounded, and its queries must find what operators ask for.
+//! Capacity of the time line, its queries and its JSON form.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_observe::{
@@ -28,7 +28,7 @@
     request, //
 };
 
-/// A time line of one process with requests of two customers, a drain and two configurations.
+/// Returns a time line of one process with requests of two customers, a draining upstream and two configurations.
 fn timeline(capacity: usize) -> Timeline {
     let mut customers = SlotMap::<customer::Key, ()>::with_key();
     let mut pools = SlotMap::<pool::Key, ()>::with_key();
@@ -80,7 +80,7 @@
     timeline(100).query(&filter)
 }
 
-/// Guards against a filter that hides a record or shows a wrong one.
+/// Guards against a filter that omits a matching record or returns another one.
 #[test]
 fn filters_find_records() {
     let queries = [
@@ -99,9 +99,9 @@
     insta::assert_snapshot!(results.concat());
 }
 
-/// Guards against a query that is misread instead of refused.
+/// Guards against an invalid query that is accepted with another meaning instead of rejected.
 #[test]
-fn wrong_queries_are_refused() {
+fn invalid_queries_are_rejected() {
     let queries = [
         "hots=a",
         "request=1",
@@ -118,7 +118,7 @@
     insta::assert_snapshot!(errors.concat());
 }
 
-/// Guards against a time line that grows without bound or forgets the newest records.
+/// Guards against a time line that grows beyond its capacity or overwrites the newest records.
 #[test]
 fn new_records_overwrite_the_oldest() {
     let timeline = timeline(3);
@@ -130,9 +130,9 @@
     ));
 }
 
-/// Guards against a JSON form that loses a field.
+/// Guards against a JSON form that loses or changes a field.
 #[test]
-fn records_survive_json() {
+fn records_round_trip_through_json() {
     let records = found("");
     let json: Vec<_> = records
         .iter()
@@ -148,7 +148,7 @@
     insta::assert_snapshot!(json.join("\n"));
 }
 
-/// Guards against an invalid field that is taken over, or an error that doesn't name it.
+/// Guards against an invalid field that is accepted, and against an error that doesn't name the field.
 #[test]
 fn invalid_json_fields_are_named() {
     let valid = wire::Record::from(&found("")[1]);
