--- a/crates/trace/src/thread.rs
+++ b/crates/trace/src/thread.rs
@@ -97,7 +97,7 @@
         let stopping = setup.stop.load(Ordering::SeqCst);
         let now = (setup.clock)();
         for source in &mut sources {
-            writer.drain(source, now);
+            writer.write_source(source, now);
         }
         writer.logger.flush();
         if stopping {
@@ -111,6 +111,7 @@
     sources.iter().any(|source| !source.receiver.is_empty())
 }
 
+/// State of the running thread.
 struct Writer {
     process: Arc<str>,
     limiter: Limiter,
@@ -121,7 +122,9 @@
 }
 
 impl Writer {
-    fn drain(&mut self, source: &mut Source, now: Time) {
+    /// Counts and writes all events in the ring of `source`, and reports how many its thread has dropped since the last
+    /// call.
+    fn write_source(&mut self, source: &mut Source, now: Time) {
         while let Some(event) = source.receiver.try_recv() {
             self.metrics.count(&event);
             if !event.metrics_only {
@@ -141,6 +144,7 @@
         }
     }
 
+    /// Writes the log line of an event unless the rate limit suppresses it.
     fn write(&mut self, event: &Event, now: Time) {
         let Some(suppressed) = self.limiter.admit(event.low_priority, now) else {
             self.metrics.count_suppressed();
