--- a/crates/daemon/src/dispatch/peering.rs
+++ b/crates/daemon/src/dispatch/peering.rs
@@ -32,7 +32,7 @@
 };
 use sassafrascrank_peer::message::{
     Demand as ReportedDemand,
-    DrainNotice as DrainNotice,
+    DrainNotice,
     Handover,
     PoolHash, //
 };
--- a/crates/daemon/src/peer/thread.rs
+++ b/crates/daemon/src/peer/thread.rs
@@ -237,7 +237,9 @@
             Notice::Confirmation(to, answer) => roster.queue_answer(&to, answer),
             Notice::JoinAck(join_ack) => roster.queue_join_ack(join_ack),
             Notice::PostponeRetirement(entry) => roster.postpone_retirement((self.clock)(), &entry),
-            Notice::UpstreamDraining(drain_notice) => roster.announce_drain((self.clock)(), drain_notice),
+            Notice::UpstreamDraining(drain_notice) => {
+                roster.announce_drain((self.clock)(), drain_notice)
+            }
             Notice::HandoverResult(number, result) => {
                 if let Some(sender) = self.pending_handovers.borrow_mut().remove(&number) {
                     // The receiver is gone if the peer has closed its connection.
--- a/crates/daemon/src/platform/follower.rs
+++ b/crates/daemon/src/platform/follower.rs
@@ -59,9 +59,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(1_200);
 /// Rounds from one read of the configuration and the host list to the next. A configuration must be in force on all
 /// entries within 8 s, and new work for a draining upstream must stop within 3 s. Reading in every second round keeps
-/// the traffic to an unchanged platform below the 250 of 2,048 bytes a second that `peer::roster::PLATFORM_BYTES_PER_SECOND`
-/// reserves for
-/// it.
+/// the traffic to an unchanged platform below the 250 of 2,048 bytes a second that
+/// `peer::roster::PLATFORM_BYTES_PER_SECOND` reserves for it.
 const CONFIGURATION_READ_ROUNDS: u32 = 2;
 /// Retention that the log is assumed to have at least, about a week at the target of 1,300 changes a day.
 const RETENTION: Retention = Retention {
