--- a/crates/tool/src/cli/error.rs
+++ b/crates/tool/src/cli/error.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is wrong; holds the verb and a space, or nothing, for the hint at `--help`.
     #[error("the command line can't be used; see sassafrascrank {0}--help")]
     Usage(&'static str),
     /// A file can't be read.
@@ -24,7 +24,7 @@
     /// The output can't be written.
     #[error("can't write the output; check where it leads")]
     Output,
-    /// The system refuses a resource.
+    /// The operating system refuses an address, a file descriptor or a thread.
     #[error("can't start; free the addresses, or raise the limits on file descriptors and threads")]
     Start,
     /// Nothing was published.
@@ -47,10 +47,10 @@
         /// The name.
         name: Name,
     },
-    /// The state of the fleet does not allow the act.
+    /// The state of the fleet does not allow the action.
     #[error("refused, nothing was published")]
     Refused,
-    /// The demo did not end well.
+    /// The demo failed.
     #[error("the demo failed")]
     Demo,
 }
--- a/crates/tool/src/cli/exit.rs
+++ b/crates/tool/src/cli/exit.rs
@@ -5,7 +5,7 @@
 /// How a command ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// It succeeded.
     Done,
     /// It failed and had no effect.
     Failed,
@@ -20,7 +20,7 @@
 }
 
 impl Exit {
-    /// Returns the code for the operating system.
+    /// Returns the exit code of the process.
     pub const fn code(self) -> u8 {
         match self {
             Self::Done => 0,
--- a/crates/tool/src/cli/run.rs
+++ b/crates/tool/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! Choice of the verb.
+//! Selection of the verb, and helpers that the verbs share.
 
 use super::{
     Error,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Writes a whole text and ends well.
+/// Writes a text to the output and flushes it.
 pub(crate) fn print<O: Write>(output: &mut O, text: &str) -> Result<Exit, Report<Error>> {
     let written = output.write_all(text.as_bytes());
     written
@@ -131,12 +131,12 @@
     Ok(Exit::Done)
 }
 
-/// Makes the error of an argument that the verb does not have.
+/// Returns the usage error for an argument that the verb does not accept.
 pub(crate) fn unexpected(usage: Error, argument: Arg<'_>) -> Report<Error> {
     Report::new(argument.unexpected()).change_context(usage)
 }
 
-/// Reads the value of an option.
+/// Parses the value of an option.
 pub(crate) fn value<T>(parser: &mut Parser, usage: &Error) -> Result<T, Report<Error>>
 where
     T: FromStr,
@@ -146,7 +146,7 @@
     value.parse().change_context_lazy(|| usage.clone())
 }
 
-/// Reads the addresses that follow an option.
+/// Parses all addresses that follow an option.
 pub(crate) fn addresses(
     parser: &mut Parser,
     usage: &Error,
@@ -156,7 +156,7 @@
     addresses.collect()
 }
 
-/// Runs a future on a runtime of the present thread.
+/// Runs a future to its end on a single-threaded runtime of the current thread.
 pub(crate) fn block_on<F: Future>(future: F) -> Result<F::Output, Report<Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/tool/src/cli/text.rs
+++ b/crates/tool/src/cli/text.rs
@@ -7,15 +7,15 @@
     Report, //
 };
 
-/// Describes an error and its causes, one a line, without places in the source and back traces.
+/// Describes an error and its causes, one per line, without source locations and backtraces.
 pub fn describe(report: &Report<Error>) -> String {
     let mut lines: Vec<String> = Vec::new();
     let mut notes = Vec::new();
-    // Attachments stand before the context that they belong to.
+    // `frames` yields attachments before the context that they belong to.
     for frame in report.frames() {
         match frame.kind() {
             FrameKind::Context(context) => {
-                add(&mut lines, context.to_string());
+                push_unique(&mut lines, context.to_string());
                 lines.append(&mut notes);
             }
             FrameKind::Attachment(AttachmentKind::Printable(note)) => notes.push(note.to_string()),
@@ -29,7 +29,7 @@
 }
 
 /// Adds a line, unless an outer context repeats the text of its cause.
-fn add(lines: &mut Vec<String>, line: String) {
+fn push_unique(lines: &mut Vec<String>, line: String) {
     if !lines.iter().any(|known| known.contains(&line)) {
         lines.push(line);
     }
--- a/crates/tool/src/demo/jobs/jobs.rs
+++ b/crates/tool/src/demo/jobs/jobs.rs
@@ -199,7 +199,7 @@
 
 async fn leader(log: SocketAddr) -> Result<String, Report<Error>> {
     let state = State::read(log).await?;
-    let leader = state.book.leader();
+    let leader = state.replica.leader();
     Ok(leader.map_or_else(String::new, |leader| leader.holder.to_string()))
 }
 
--- a/crates/tool/src/jobs/host.rs
+++ b/crates/tool/src/jobs/host.rs
@@ -1,4 +1,4 @@
-//! What the log holds of one host.
+//! The records about one host.
 
 use super::State;
 use core::fmt::{
@@ -7,24 +7,24 @@
     Formatter, //
 };
 
-/// What the log holds of one host.
+/// What the log records about one host.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize)]
 pub struct Host {
     name: String,
-    /// Attempts that may run there: job, task, attempt and runner.
+    /// Attempts that may be running there: job, task, attempt and runner.
     runs: Vec<String>,
-    /// When a leader last ordered it to move or to its maintenance, Unix milliseconds.
+    /// When a leader last ordered its move or its maintenance, in milliseconds since the Unix epoch.
     ordered: Option<u64>,
-    /// Waves in which its maintenance has begun.
+    /// Numbers of the waves in which its maintenance has begun.
     waves: Vec<u64>,
 }
 
 impl Host {
-    /// Returns what the log holds of a host.
-    pub fn of(state: &State, name: &str) -> Self {
+    /// Collects what the log records about the host `name`.
+    pub fn new(state: &State, name: &str) -> Self {
         let mut runs = Vec::new();
-        for (_, entry) in state.book.jobs() {
+        for (_, entry) in state.replica.jobs() {
             let tasks = entry.progress.iter().flat_map(|progress| &progress.tasks);
             for task in tasks {
                 let here = task.assignments.iter().filter(|place| *place.host == *name);
@@ -43,8 +43,8 @@
             }
         }
         runs.sort_unstable();
-        let ordered = state.book.host_orders().get(name);
-        let waves = state.book.waves().values();
+        let ordered = state.replica.host_orders().get(name);
+        let waves = state.replica.waves().values();
         let waves = waves.filter(|wave| wave.begun.iter().any(|host| **host == *name));
         Self {
             name: name.to_owned(),
--- a/crates/tool/src/jobs/job.rs
+++ b/crates/tool/src/jobs/job.rs
@@ -1,8 +1,8 @@
-//! What the log holds of one job.
+//! The records about one job.
 
 use super::{
     State,
-    overview::word, //
+    overview::describe_state, //
 };
 use core::fmt::{
     self,
@@ -21,11 +21,11 @@
 struct Step {
     tasks: u16,
     after: Vec<u16>,
-    /// What each task takes: thousandths of a core, megabytes, accelerators.
+    /// Resources of each task: thousandths of a core, megabytes of memory, accelerators.
     needs: [u64; 3],
 }
 
-/// A task of which the log holds something.
+/// A task that has a record in the log.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize)]
 struct Row {
@@ -34,11 +34,11 @@
     done: bool,
     attempts: u32,
     failures: u16,
-    /// Runners and hosts where attempts may run.
+    /// Runners and hosts where attempts may be running.
     places: Vec<String>,
 }
 
-/// What the log holds of one job.
+/// What the log records about one job.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize)]
 pub struct Job {
@@ -54,15 +54,15 @@
 }
 
 impl Job {
-    /// Returns what the log holds of a job, or `None` if it holds nothing.
-    pub fn of(state: &State, id: Id) -> Option<Self> {
-        let entry = state.book.get(state.book.find(id)?)?;
+    /// Collects what the log records about a job, or returns `None` if it has no record of it.
+    pub fn find(state: &State, id: Id) -> Option<Self> {
+        let entry = state.replica.get(state.replica.find(id)?)?;
         let submitted = state.jobs.get(&id);
         let progress = entry.progress.as_ref();
         let tasks = progress.map(|progress| progress.tasks.iter().map(Row::from).collect());
         let mut job = Self {
             id: id.to_string(),
-            state: word(state, id),
+            state: describe_state(state, id),
             queue: entry.queue.as_deref().map(str::to_owned),
             pool: submitted.map(|job| job.policy.pool.to_string()),
             steps: submitted
@@ -76,7 +76,7 @@
         Some(job)
     }
 
-    /// Explains the state.
+    /// Returns the reason for the state as text.
     fn explain(&self, state: &State) -> String {
         let open = self
             .tasks
@@ -85,7 +85,7 @@
             .count();
         let done = self.tasks.iter().filter(|task| task.done).count();
         match self.state {
-            "queued" => match state.book.leader() {
+            "queued" => match state.replica.leader() {
                 None => "no entry leads, so nothing starts".to_owned(),
                 Some(leader) if leader.resigned => {
                     format!(
--- a/crates/tool/src/jobs/jobs.rs
+++ b/crates/tool/src/jobs/jobs.rs
@@ -79,10 +79,10 @@
     let state = block_on(State::read(log))??;
     let text = match (id, host) {
         (Some(id), _) => {
-            let job = Job::of(&state, id).ok_or_else(|| Report::new(Error::NoJob(id)))?;
+            let job = Job::find(&state, id).ok_or_else(|| Report::new(Error::NoJob(id)))?;
             render(&job, as_json)?
         }
-        (None, Some(host)) => render(&Host::of(&state, &host), as_json)?,
+        (None, Some(host)) => render(&Host::new(&state, &host), as_json)?,
         (None, None) => render(&Overview::from(&state), as_json)?,
     };
     print(output, &text)
--- a/crates/tool/src/jobs/mod.rs
+++ b/crates/tool/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform's log holds of jobs, their leader and maintenance waves.
+//! Jobs, their leader and maintenance waves, as recorded in the platform's log.
 
 mod host;
 mod job;
--- a/crates/tool/src/jobs/overview.rs
+++ b/crates/tool/src/jobs/overview.rs
@@ -24,22 +24,23 @@
     cancelled: u64,
 }
 
-/// The leader, as its latest record says.
+/// The leader according to its latest record.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize)]
 struct Leader {
     holder: String,
     epoch: u64,
-    /// Thousandths of a core.
+    /// Capacity that it manages, in thousandths of a core.
     capacity: u32,
     resigned: bool,
 }
 
-/// How far a wave is.
+/// Progress of a maintenance wave.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize)]
 struct Wave {
     number: u64,
+    /// Hosts whose maintenance has begun.
     begun: usize,
     done: bool,
 }
@@ -57,21 +58,21 @@
 
 impl From<&State> for Overview {
     fn from(state: &State) -> Self {
-        let book = &state.book;
+        let replica = &state.replica;
         let mut queues: BTreeMap<String, Counts> = BTreeMap::new();
-        for (_, entry) in book.jobs() {
+        for (_, entry) in replica.jobs() {
             if let Some(queue) = &entry.queue {
                 let counts = queues.entry(queue.to_string()).or_default();
-                *counts.of(book.state(entry.id)) += 1;
+                *counts.counter(replica.state(entry.id)) += 1;
             }
         }
-        let leader = book.leader().map(|leader| Leader {
+        let leader = replica.leader().map(|leader| Leader {
             holder: leader.holder.to_string(),
             epoch: leader.epoch,
             capacity: leader.capacity,
             resigned: leader.resigned,
         });
-        let waves = book.waves().values().map(|wave| Wave {
+        let waves = replica.waves().values().map(|wave| Wave {
             number: wave.number,
             begun: wave.begun.len(),
             done: wave.done,
@@ -86,7 +87,8 @@
 }
 
 impl Counts {
-    fn of(&mut self, state: Option<replica::State>) -> &mut u64 {
+    /// Returns the counter of a state.
+    fn counter(&mut self, state: Option<replica::State>) -> &mut u64 {
         match state {
             None | Some(replica::State::Queued) => &mut self.queued,
             Some(replica::State::Running) => &mut self.running,
@@ -97,9 +99,9 @@
     }
 }
 
-/// Returns the word for a state.
-pub(super) fn word(state: &State, id: Id) -> &'static str {
-    match state.book.state(id) {
+/// Returns the name of a job's state, as the output shows it.
+pub(super) fn describe_state(state: &State, id: Id) -> &'static str {
+    match state.replica.state(id) {
         None => "unknown",
         Some(replica::State::Queued) => "queued",
         Some(replica::State::Running) => "running",
--- a/crates/tool/src/jobs/state.rs
+++ b/crates/tool/src/jobs/state.rs
@@ -1,4 +1,4 @@
-//! The records of the log, folded as the entries fold them.
+//! State of jobs, leader and waves, rebuilt from the log.
 
 use crate::cli::Error;
 use core::net::SocketAddr;
@@ -24,19 +24,19 @@
     sync::Arc, //
 };
 
-/// The records of the log, folded as the entries fold them.
+/// State of jobs, leader and waves, rebuilt from the log in the same way as entries do.
 #[derive(Debug, Default)]
 pub struct State {
-    /// The fold.
-    pub book: Replica,
-    /// Jobs as they were submitted, also those that have ended.
+    /// State after the records read so far.
+    pub replica: Replica,
+    /// Jobs as they were submitted, including those that have ended.
     pub jobs: HashMap<Id, Arc<job::Job>>,
-    /// Records that can't be read.
+    /// Number of records that can't be decoded.
     pub skipped: u64,
 }
 
 impl State {
-    /// Reads the newest record of each key.
+    /// Reads the newest record of each key and builds the state.
     ///
     /// # Errors
     ///
@@ -55,11 +55,11 @@
         Ok(state)
     }
 
-    /// Folds a record.
+    /// Applies a record with its offset in the log.
     pub fn apply(&mut self, offset: u64, record: Record) {
         if let Record::Job(job) = &record {
             self.jobs.insert(job.id, Arc::clone(job));
         }
-        self.book.apply(offset, record, Time::MIN);
+        self.replica.apply(offset, record, Time::MIN);
     }
 }
--- a/crates/tool/src/lib.rs
+++ b/crates/tool/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's command line, as functions that take arguments and a writer.
+//! The operator's command line as a library: each verb takes arguments and writes to a given output.
 
 pub mod check;
 pub mod cli;
--- a/crates/tool/tests/jobs.rs
+++ b/crates/tool/tests/jobs.rs
@@ -138,13 +138,13 @@
     let state = state();
     let mut text = Overview::from(&state).to_string();
     for id in 1..=4 {
-        let job = Shown::of(&state, Id(id)).expect("the log holds it");
+        let job = Shown::find(&state, Id(id)).expect("the log holds it");
         text += &format!("\n{job}");
     }
-    text += &format!("\n{}", Host::of(&state, "host-1"));
-    text += &format!("\n{}", Host::of(&state, "host-9"));
+    text += &format!("\n{}", Host::new(&state, "host-1"));
+    text += &format!("\n{}", Host::new(&state, "host-9"));
     insta::assert_snapshot!(text);
-    assert!(Shown::of(&state, Id(9)).is_none());
+    assert!(Shown::find(&state, Id(9)).is_none());
 }
 
 fn run(task: &str, began: u64, ended: u64, how: &'static str) -> Interval {
