--- a/crates/tool/src/demo/report.rs
+++ b/crates/tool/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! Figures of the demo.
+//! Availability of the demo.
 
 use super::{
     plan::{
--- a/crates/tool/src/demo/table.rs
+++ b/crates/tool/src/demo/table.rs
@@ -1,4 +1,4 @@
-//! Figures of the demo as text.
+//! Availability of the demo as text.
 
 use super::report::Report;
 use core::fmt;
--- a/crates/tool/src/departure/decision.rs
+++ b/crates/tool/src/drain/decision.rs
@@ -1,4 +1,4 @@
-//! Whether a host may leave service, and the record that says so.
+//! Decides whether a host may be taken out of service, and builds the record for it.
 
 use crate::fleet::describe_step;
 use core::fmt;
@@ -26,26 +26,26 @@
 };
 use std::sync::Arc;
 
-/// Why a host stays in service.
+/// Why a host can't be taken out of service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// No pool has the host.
+    /// The host is assigned to no pool.
     Unassigned,
-    /// It belongs to the pool that it shall move to.
-    Same,
+    /// It already belongs to the target pool.
+    SamePool,
     /// It is out of service already.
     Absent(Step),
     /// The wave is stopped, so that the planner would withdraw the drain.
     Stopped,
-    /// The budget or the place of the host forbids it.
+    /// The availability budget, or the zone or condition of the host, forbids it.
     Refused {
         /// The pool.
         pool: Name,
-        /// Its availability.
+        /// Its availability and budget.
         budget: Budget,
         /// What forbids it.
         refusal: Refusal,
-        /// Zone that is worked on, if it forbids it.
+        /// Other zone with hosts out of service, if that is the reason.
         zone: Option<Name>,
     },
 }
@@ -54,7 +54,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (pool, budget, refusal, zone) = match self {
             Self::Unassigned => return write!(f, "no pool has the host"),
-            Self::Same => return write!(f, "the host belongs to that pool already"),
+            Self::SamePool => return write!(f, "the host belongs to that pool already"),
             Self::Absent(step) => return write!(f, "the host is {} already", describe_step(*step)),
             Self::Stopped => {
                 return write!(
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// Names what keeps the host in service.
+/// Returns the reason if the host can't be taken out of service.
 pub fn decide(
     inventory: &Inventory,
     host: &Host,
@@ -96,12 +96,12 @@
     let key = host.pool.ok_or(Reason::Unassigned)?;
     let pool = inventory.pool(key).ok_or(Reason::Unassigned)?;
     if target == Some(&pool.name) {
-        return Err(Reason::Same);
+        return Err(Reason::SamePool);
     }
     if let Some(absence) = pool.reservation.hosts.get(&host.name) {
         return Err(Reason::Absent(absence.step));
     }
-    // Moves go on while the wave is stopped.
+    // A stopped wave withdraws drains for maintenance only; moves continue.
     if target.is_none() && is_stopped(inventory) {
         return Err(Reason::Stopped);
     }
--- a/crates/tool/src/departure/departure.rs
+++ b/crates/tool/src/drain/drain.rs
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the command line is wrong, the fleet can't be read, the act is refused or nothing was published.
+/// Fails if the command line is wrong, the fleet can't be read, the action is refused or nothing was published.
 pub fn run_drain<O: Write>(parser: &mut Parser, output: &mut O) -> Result<Exit, Report<Error>> {
     let usage = Error::Usage("drain ");
     let Some((words, flags)) = parse(parser, 1, &usage)? else {
@@ -81,14 +81,14 @@
     let [host] = &words[..] else {
         return Err(Report::new(usage).attach("HOST is missing"));
     };
-    act(host, None, &flags, &usage, output)
+    publish_drain(host, None, &flags, &usage, output)
 }
 
 /// Runs the verb `move`.
 ///
 /// # Errors
 ///
-/// Fails if the command line is wrong, the fleet can't be read, the act is refused or nothing was published.
+/// Fails if the command line is wrong, the fleet can't be read, the action is refused or nothing was published.
 pub fn run_move<O: Write>(parser: &mut Parser, output: &mut O) -> Result<Exit, Report<Error>> {
     let usage = Error::Usage("move ");
     let Some((words, flags)) = parse(parser, 2, &usage)? else {
@@ -97,10 +97,10 @@
     let [host, pool] = &words[..] else {
         return Err(Report::new(usage).attach("HOST or POOL is missing"));
     };
-    act(host, Some(pool), &flags, &usage, output)
+    publish_drain(host, Some(pool), &flags, &usage, output)
 }
 
-/// Reads at most `limit` names and the options, `None` if help is asked for.
+/// Parses at most `limit` names and the options; returns `None` if help is asked for.
 fn parse(
     parser: &mut Parser,
     limit: usize,
@@ -127,14 +127,14 @@
     Ok(Some((words, flags)))
 }
 
-fn act<O: Write>(
+fn publish_drain<O: Write>(
     host: &Name,
     target: Option<&Name>,
     flags: &Flags,
     usage: &Error,
     output: &mut O,
 ) -> Result<Exit, Report<Error>> {
-    let options = flags.finish(true, usage)?;
+    let options = flags.check(true, usage)?;
     let view = fleet::read(options.platform)?;
     let inventory = &view.inventory;
     let missing = |kind, name: &Name| {
@@ -149,12 +149,12 @@
     {
         return Err(missing("pool", target));
     }
-    let now = flags.at.unwrap_or_else(fleet::present);
+    let now = flags.at.unwrap_or_else(fleet::current_time);
     let proposal = decide(inventory, found, target, now).map_err(|reason| {
         let problem = reason.to_string();
         Report::new(Error::Refused).attach(problem)
     })?;
-    let (exit, text) = fleet::finish(options, &[proposal])?;
+    let (exit, text) = fleet::publish(options, &[proposal])?;
     print(output, &text)?;
     Ok(exit)
 }
--- a/crates/tool/src/departure/mod.rs
+++ b/crates/tool/src/drain/mod.rs
@@ -1,13 +1,13 @@
-//! A host's departure from service on behalf of an operator.
+//! The verbs `drain` and `move`, by which an operator takes a host out of service.
 
 mod decision;
-mod departure;
+mod drain;
 
 pub use decision::{
     Reason,
     decide, //
 };
-pub use departure::{
+pub use drain::{
     DRAIN_HELP,
     MOVE_HELP,
     run_drain,
--- a/crates/tool/src/fleet/figures.rs
+++ b/crates/tool/src/fleet/availability.rs
@@ -1,4 +1,4 @@
-//! Availability figures of a pool as JSON.
+//! Availability of a pool as JSON.
 
 use sassafrascrank_fleet::Budget;
 use serde::Serialize;
@@ -6,22 +6,22 @@
 /// Hosts of one pool by availability.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
-pub struct Figures {
+pub struct Availability {
     /// Hosts assigned to the pool.
     pub hosts: usize,
     /// Hosts that serve.
     pub available: usize,
     /// Hosts that are voluntarily out of service.
     pub out: usize,
-    /// Hosts that failed on their own.
+    /// Hosts that failed and are not reserved.
     pub failed: usize,
-    /// Least hosts that must be available.
+    /// Fewest hosts that must be available.
     pub budget: usize,
-    /// Hosts that may still leave service.
+    /// Hosts that may still be taken out of service.
     pub room: usize,
 }
 
-impl From<&Budget> for Figures {
+impl From<&Budget> for Availability {
     fn from(budget: &Budget) -> Self {
         Self {
             hosts: budget.assigned,
--- a/crates/tool/src/fleet/mod.rs
+++ b/crates/tool/src/fleet/mod.rs
@@ -1,23 +1,23 @@
 //! The fleet as the log and the platform's host list describe it.
 
-mod act;
-mod figures;
-mod flags;
+mod availability;
+mod options;
+mod publish;
 mod text;
 mod view;
 
-pub(crate) use act::{
+pub use availability::Availability;
+pub(crate) use options::Flags;
+pub(crate) use publish::{
     Options,
-    finish, //
+    publish, //
 };
-pub use figures::Figures;
-pub(crate) use flags::Flags;
 pub(crate) use text::{
+    current_time,
+    describe_duration,
     describe_progress,
     describe_step,
-    describe_time,
-    or_dash,
-    present, //
+    or_dash, //
 };
 pub use view::{
     View,
--- a/crates/tool/src/fleet/flags.rs
+++ b/crates/tool/src/fleet/options.rs
@@ -13,14 +13,14 @@
 use lexopt::Parser;
 use sassafrascrank_base::prelude::*;
 
-/// Options as they are read.
+/// Options as given on the command line, before they are checked.
 pub(crate) struct Flags {
     platform: Option<SocketAddr>,
     writer: String,
     seconds: u64,
-    /// Time to judge at.
+    /// Time at which the fleet is judged; `None` for the current time.
     pub(crate) at: Option<Time>,
-    /// Whether nothing is published.
+    /// Whether the change is only printed and not published.
     pub(crate) is_dry: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Flags {
-    /// Reads the option `name` and returns whether it is one of these.
+    /// Parses the value of the option `name`; returns `false` if the option is none of these.
     pub(crate) fn read(
         &mut self,
         name: &str,
@@ -56,17 +56,19 @@
     }
 
     /// Checks the options; `publishes` says whether a record may be published.
-    pub(crate) fn finish(&self, publishes: bool, usage: &Error) -> Result<Options, Report<Error>> {
-        let wrong = |problem: String| Report::new(usage.clone()).attach(problem);
+    pub(crate) fn check(&self, publishes: bool, usage: &Error) -> Result<Options, Report<Error>> {
+        let usage_error = |problem: String| Report::new(usage.clone()).attach(problem);
         let seconds = self.seconds;
         if !(1..=600).contains(&seconds) {
-            return Err(wrong(format!("--timeout {seconds}: use 1 to 600 seconds")));
+            return Err(usage_error(format!(
+                "--timeout {seconds}: use 1 to 600 seconds"
+            )));
         }
         if self.at.is_some() && publishes && !self.is_dry {
             let problem = "--at MS: a record has the present time; add --dry-run";
-            return Err(wrong(problem.to_owned()));
+            return Err(usage_error(problem.to_owned()));
         }
-        let missing = || wrong("--platform ADDR is missing".to_owned());
+        let missing = || usage_error("--platform ADDR is missing".to_owned());
         Ok(Options {
             platform: self.platform.ok_or_else(missing)?,
             writer: Name::new(&self.writer).change_context_lazy(|| usage.clone())?,
--- a/crates/tool/src/fleet/act.rs
+++ b/crates/tool/src/fleet/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing of a decision about the fleet.
+//! Publication of a decision about the fleet.
 
 use crate::{
     cli::{
@@ -35,14 +35,14 @@
     pub(crate) platform: SocketAddr,
     /// Name of the writer.
     pub(crate) writer: Name,
-    /// Longest time for publishing.
+    /// Longest time until the platform has answered.
     pub(crate) limit: Duration,
-    /// Whether the change is only printed.
+    /// Whether the change is only printed and not published.
     pub(crate) is_dry: bool,
 }
 
-/// Publishes proposals as one change on the bases that they rest on, or only shows them.
-pub(crate) fn finish(
+/// Publishes proposals as one change, each on the offset that it was decided at, or only describes them in a dry run.
+pub(crate) fn publish(
     options: Options,
     proposals: &[Proposal],
 ) -> Result<(Exit, String), Report<Error>> {
@@ -51,7 +51,7 @@
         return Ok((Exit::Done, preview(&entries)?));
     }
     let mut log = Client::new(options.platform, Limits::default());
-    // Random, so that no two runs by the same writer share it.
+    // The random part of the UUID, so that no two runs by the same writer share it.
     let incarnation = Uuid::now_v7().as_u64_pair().1;
     let published = publish_entries(
         &mut log,
@@ -64,7 +64,8 @@
     Ok(describe(&outcome))
 }
 
-/// Makes the entry of a proposal; an operator's acts begin absences and never hold a join.
+/// Returns the ledger entry of a proposal. The `join` of a proposal is ignored: an operator's actions take hosts out of
+/// service and never add one to a pool.
 fn make_entry(proposal: &Proposal) -> Entry {
     Entry {
         subject: proposal.subject.clone(),
--- a/crates/tool/src/fleet/text.rs
+++ b/crates/tool/src/fleet/text.rs
@@ -25,13 +25,13 @@
     }
 }
 
-/// Shows an absent value as a dash, so that each row of a table has all columns.
+/// Replaces an absent value by a dash, so that each row of a table has all columns.
 pub(crate) fn or_dash(text: Option<&String>) -> &str {
     text.map_or("-", String::as_str)
 }
 
-/// Shows whole days, hours and minutes, rounded up.
-pub(crate) fn describe_time(time: Duration) -> String {
+/// Formats a duration in days, hours and minutes, rounded up to whole minutes.
+pub(crate) fn describe_duration(time: Duration) -> String {
     let minutes = time.as_secs().div_ceil(60);
     let (days, hours, minutes) = (minutes / 1_440, minutes / 60 % 24, minutes % 60);
     match (days, hours) {
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the present time.
-pub(crate) fn present() -> Time {
+/// Returns the current time.
+pub(crate) fn current_time() -> Time {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     // A clock before 1970 reads as the epoch.
     Time::MIN + since.unwrap_or_default()
--- a/crates/tool/src/fleet/view.rs
+++ b/crates/tool/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! Reading of the fleet.
+//! Reads the configuration and the host list from the platform.
 
 use crate::cli::{
     Error,
@@ -42,7 +42,7 @@
     pub state: State,
     /// Hosts that the platform lists.
     pub listed: BTreeMap<Name, Host>,
-    /// Both, as the decisions about the fleet read them.
+    /// Both combined, as input of the decisions about the fleet.
     pub inventory: Inventory,
 }
 
@@ -68,14 +68,14 @@
         return Err(Report::new(Error::Fleet).attach(problem));
     }
     let hosts = client.hosts().await.change_context(Error::Fleet)?;
-    // A client that has read no list yet always gets the whole one.
+    // `None` means that the list is unchanged since the last read; this is the first one.
     let hosts = hosts.unwrap_or_default();
     let hosts = hosts.into_iter().map(|host| (host.host.clone(), host));
     Ok(View::new(state, hosts.collect()))
 }
 
 impl View {
-    /// Joins the configuration with the host list.
+    /// Combines the configuration with the host list.
     pub fn new(state: State, listed: BTreeMap<Name, Host>) -> Self {
         let inventory = build(&state, &listed);
         Self {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Joins the present state with the host list again, after a change was folded into the state.
+    /// Rebuilds the inventory after a change was applied to `state`.
     pub fn refresh(&mut self) {
         self.inventory = build(&self.state, &self.listed);
     }
@@ -96,7 +96,7 @@
     let image = state.export().unwrap_or_default();
     inventory.set_floor(image.floor);
     for (subject, held) in &image.values {
-        // Without an earlier reading, the time in a step counts from its record.
+        // No earlier observation exists, so the time in a step counts from the record that began it.
         inventory.set(subject, held.offset, &held.value, Time::MIN);
     }
     for host in listed.values() {
@@ -109,11 +109,11 @@
     inventory
 }
 
-/// Takes what the host list says about a host.
+/// Adds the observation of a host that the host list implies.
 ///
 /// A host that is not listed, or that is leaving, takes no new work and counts as failed unless it is reserved. The
-/// list holds no times: the start of a failure comes from the pool's reservation, and work is taken to last as long
-/// as a drain may.
+/// list holds no times: the start of a failure comes from the pool's reservation, and each host is assumed to have work
+/// for the whole drain limit.
 fn observe(inventory: &mut Inventory, name: &Name, listed: Option<&Host>) {
     let host = inventory
         .find_host(name)
--- a/crates/tool/src/plan/mod.rs
+++ b/crates/tool/src/plan/mod.rs
@@ -1,16 +1,16 @@
-//! Dry run of a configuration document.
+//! Preview of what a configuration document would change.
 
-mod outlook;
 mod plan;
+mod preview;
 mod text;
 
-pub use outlook::{
-    Effect,
-    Move,
-    Outlook,
-    Shortage, //
-};
 pub use plan::{
     HELP,
     run, //
 };
+pub use preview::{
+    Effect,
+    Move,
+    Preview,
+    Shortage, //
+};
--- a/crates/tool/src/plan/plan.rs
+++ b/crates/tool/src/plan/plan.rs
@@ -1,6 +1,6 @@
 //! The verb `plan`.
 
-use super::Outlook;
+use super::Preview;
 use crate::{
     check::read_document,
     cli::{
@@ -67,9 +67,9 @@
     let platform = platform.ok_or_else(missing("--platform ADDR is missing"))?;
     let document = read_document(&path)?;
     let mut view = fleet::read(platform)?;
-    let outlook = Outlook::new(&mut view, &document);
-    print(output, &outlook.to_string())?;
-    Ok(match outlook.is_safe() {
+    let preview = Preview::new(&mut view, &document);
+    print(output, &preview.to_string())?;
+    Ok(match preview.is_safe() {
         true => Exit::Done,
         false => Exit::Rejected,
     })
--- a/crates/tool/src/plan/outlook.rs
+++ b/crates/tool/src/plan/preview.rs
@@ -1,4 +1,4 @@
-//! What a document would change.
+//! Comparison of a document with the configuration in force.
 
 use crate::fleet::View;
 use sassafrascrank_base::prelude::*;
@@ -31,7 +31,7 @@
     Add,
     /// The value differs from the one in force.
     Change,
-    /// The value in force goes away.
+    /// The value in force is removed.
     Remove,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl Shortage {
-    /// Returns whether the document makes or deepens it, rather than the present state of the fleet.
+    /// Returns whether the document causes the shortage or makes it larger than it already is.
     pub fn is_new(&self) -> bool {
         let missing = |budget: &Budget| budget.needed.saturating_sub(budget.available());
         let before = self.before.as_ref().map_or(0, missing);
@@ -68,7 +68,7 @@
 
 /// What a document would change.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Outlook {
+pub struct Preview {
     /// Offset of the configuration that it was compared with.
     pub version: u64,
     /// Subjects that differ from what is in force, with the offset of the value in force.
@@ -83,8 +83,9 @@
     pub shortages: Vec<Shortage>,
 }
 
-impl Outlook {
-    /// Folds the document into the view as if it were the next record, and compares.
+impl Preview {
+    /// Applies the document to the view as if it were the next record of the log, and compares the states before and
+    /// after.
     pub fn new(view: &mut View, document: &Document) -> Self {
         let values = document.values.iter();
         let compared =
@@ -97,7 +98,7 @@
             let value = document.values.get(subject)?;
             find_move(&view.state, subject, value)
         });
-        let mut outlook = Self {
+        let mut preview = Self {
             version: view.state.version().0,
             unchanged: document.values.len() - effects.len(),
             moves: moves.collect(),
@@ -105,15 +106,15 @@
             rejection: None,
             shortages: Vec::new(),
         };
-        let before = count(&view.inventory);
-        match fold(&mut view.state, document) {
-            Verdict::Invalid(error) => outlook.rejection = Some(error),
+        let before = compute_budgets(&view.inventory);
+        match apply(&mut view.state, document) {
+            Verdict::Invalid(error) => preview.rejection = Some(error),
             _ => {
                 view.refresh();
-                outlook.shortages = find_shortages(&before, count(&view.inventory));
+                preview.shortages = find_shortages(&before, compute_budgets(&view.inventory));
             }
         }
-        outlook
+        preview
     }
 
     /// Returns whether the document would be accepted and take no pool below its budget.
@@ -149,8 +150,8 @@
     })
 }
 
-/// Folds the document as the next record; its bases are in force, so that it can't be stale.
-fn fold(state: &mut State, document: &Document) -> Verdict {
+/// Applies the document as the next record. Its entries are based on the values in force, so it can't be stale.
+fn apply(state: &mut State, document: &Document) -> Verdict {
     let values = document.values.iter();
     let entries = values.map(|(subject, value)| Entry {
         subject: subject.clone(),
@@ -158,7 +159,7 @@
         value: value.clone(),
     });
     let change = Change {
-        // No writer has this incarnation, so that the record is no repeat.
+        // No writer has this incarnation, so the record is not dropped as a duplicate.
         origin: Origin {
             writer: Name::placeholder(),
             incarnation: u64::MAX,
@@ -170,7 +171,7 @@
     state.apply(next, Ok(Record::Change(change)))
 }
 
-fn count(inventory: &Inventory) -> BTreeMap<Name, Budget> {
+fn compute_budgets(inventory: &Inventory) -> BTreeMap<Name, Budget> {
     let pools = inventory.pools();
     let budgets = pools.map(|(key, pool)| {
         let budget = Budget::new(inventory, key, &pool.reservation);
--- a/crates/tool/src/plan/text.rs
+++ b/crates/tool/src/plan/text.rs
@@ -1,15 +1,15 @@
-//! The outlook as text.
+//! Text output of a preview.
 
 use super::{
     Effect,
     Move,
-    Outlook,
+    Preview,
     Shortage, //
 };
 use core::fmt;
 use sassafrascrank_base::prelude::*;
 
-impl fmt::Display for Outlook {
+impl fmt::Display for Preview {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
@@ -45,7 +45,7 @@
     }
 }
 
-impl Outlook {
+impl Preview {
     fn write_shortages(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.shortages.is_empty() {
             return writeln!(f, "no pool would be below its budget");
--- a/crates/tool/src/pools/row.rs
+++ b/crates/tool/src/pools/row.rs
@@ -1,7 +1,7 @@
 //! Pools as a table.
 
 use crate::fleet::{
-    Figures,
+    Availability,
     describe_progress, //
 };
 use core::fmt;
@@ -32,7 +32,7 @@
     pub pool: String,
     /// Its availability.
     #[serde(flatten)]
-    pub figures: Figures,
+    pub figures: Availability,
     /// The wave in the pool; `None` before the first one.
     pub wave: Option<Wave>,
 }
@@ -65,7 +65,7 @@
         let holder = holder.map(|(_, pool)| pool);
         let rows = inventory.pools().map(|(key, pool)| Row {
             pool: pool.name.to_string(),
-            figures: Figures::from(&Budget::new(inventory, key, &pool.reservation)),
+            figures: Availability::from(&Budget::new(inventory, key, &pool.reservation)),
             wave: Wave::new(pool, holder),
         });
         Self {
--- a/crates/tool/src/publish/publish.rs
+++ b/crates/tool/src/publish/publish.rs
@@ -82,7 +82,7 @@
     };
     let document = read_document(&arguments.path)?;
     let mut log = Client::new(arguments.platform, Limits::default());
-    // Random, so that no two runs by the same writer share it.
+    // The random part of the UUID, so that no two runs by the same writer share it.
     let incarnation = Uuid::now_v7().as_u64_pair().1;
     let published = publish(
         &mut log,
@@ -97,7 +97,7 @@
     Ok(exit)
 }
 
-/// Reads the arguments, `None` if help is asked for.
+/// Parses the arguments; returns `None` if help is asked for.
 fn parse(parser: &mut Parser) -> Result<Option<Arguments>, Report<Error>> {
     let mut path = None;
     let mut platform = None;
@@ -125,7 +125,7 @@
     }))
 }
 
-/// Describes an outcome, and how the command ends with it.
+/// Returns the exit code and the text for an outcome.
 pub(crate) fn describe(outcome: &Outcome) -> (Exit, String) {
     match outcome {
         Outcome::Accepted { offset, subjects } => {
--- a/crates/tool/src/timeline/timeline.rs
+++ b/crates/tool/src/timeline/timeline.rs
@@ -109,7 +109,7 @@
     })
 }
 
-/// Reads the arguments, `None` if help is asked for.
+/// Parses the arguments; returns `None` if help is asked for.
 fn parse(parser: &mut Parser) -> Result<Option<Arguments>, Report<Error>> {
     let mut arguments = Arguments::default();
     while let Some(argument) = parser.next().change_context(USAGE)? {
--- a/crates/tool/src/wave/mod.rs
+++ b/crates/tool/src/wave/mod.rs
@@ -1,12 +1,12 @@
-//! The maintenance wave: its state and acts on it.
+//! The maintenance wave: its status, and the actions that pause, resume or change it.
 
-mod outlook;
+mod status;
 mod text;
 mod wave;
 
-pub use outlook::{
-    Outlook,
+pub use status::{
     Row, //
+    Status,
 };
 pub use wave::{
     HELP,
--- a/crates/tool/src/wave/outlook.rs
+++ b/crates/tool/src/wave/status.rs
@@ -1,4 +1,4 @@
-//! Progress of the wave and when it ends.
+//! Progress of the wave and its expected end.
 
 use crate::{
     fleet::describe_progress,
@@ -20,22 +20,22 @@
 /// Progress of the wave of the current period.
 #[derive(Debug)]
 #[derive(Serialize)]
-pub struct Outlook {
+pub struct Status {
     /// Number of the wave.
     pub wave: u64,
-    /// Whether it starts drains.
+    /// Whether it is running, paused or stopped; it starts drains only while it is running.
     pub progress: &'static str,
-    /// Pool whose record halts it.
+    /// Pool whose reservation record pauses or stops it.
     pub halted_by: Option<String>,
     /// Seconds until the period ends.
     pub left_s: u64,
-    /// Seconds until the wave is expected to end, at most; `None` if it never ends as things are.
+    /// Most seconds until the wave ends; `None` if it can't end in the present state of the fleet.
     pub needs_s: Option<u64>,
     /// Progress in each pool, ordered by name.
     pub pools: Vec<Row>,
     /// Pools that don't finish in time.
     pub late: Vec<Late>,
-    /// The same as the crate `fleet` states it.
+    /// The same pools as in `late`, as the crate `fleet` describes them.
     #[serde(skip)]
     pub(super) forecasts: Vec<Forecast>,
 }
@@ -50,32 +50,34 @@
     pub done: usize,
     /// Hosts that are out of service for the wave.
     pub running: usize,
-    /// Hosts whose turn has yet to come.
+    /// Hosts whose maintenance has not begun.
     pub waiting: usize,
-    /// Seconds that they need at most; `None` if they never finish as things are.
+    /// Most seconds that they need; `None` if they can't finish in the present state of the fleet.
     pub needs_s: Option<u64>,
 }
 
-impl Outlook {
-    /// Judges the wave at `now`.
+impl Status {
+    /// Computes the status of the wave at `now`.
     pub fn new(inventory: &Inventory, rules: &Rules, now: Time) -> Self {
         let number = rules.wave(now);
         let deadline = rules.deadline(number);
         let mut pools = inventory.pools();
-        let holder = pools.find(|(_, pool)| pool.reservation.wave.progress != Progress::Running);
-        let holder = holder.map(|(_, pool)| pool);
+        let halting_pool =
+            pools.find(|(_, pool)| pool.reservation.wave.progress != Progress::Running);
+        let halting_pool = halting_pool.map(|(_, pool)| pool);
         let needs = find_needs(inventory, rules, deadline);
         let rows = inventory
             .pools()
             .map(|(_, pool)| Row::new(inventory, pool, number, &needs));
         let mut rows: Vec<Row> = rows.collect();
-        if holder.is_some() {
+        if halting_pool.is_some() {
             let pending = rows.iter_mut().filter(|row| row.needs_s != Some(0));
             pending.for_each(|row| row.needs_s = None);
         }
         let forecasts = wave::forecast(inventory, rules, now);
-        let progress = holder.map_or(Progress::Running, |pool| pool.reservation.wave.progress);
-        // Pools are worked on at the same time.
+        let progress =
+            halting_pool.map_or(Progress::Running, |pool| pool.reservation.wave.progress);
+        // Pools proceed in parallel, so the slowest one decides.
         let longest = rows
             .iter()
             .map(|row| row.needs_s)
@@ -84,7 +86,7 @@
         Self {
             wave: number,
             progress: describe_progress(progress),
-            halted_by: holder.map(|pool| pool.name.to_string()),
+            halted_by: halting_pool.map(|pool| pool.name.to_string()),
             left_s: deadline.since(now).as_secs(),
             needs_s: longest,
             pools: rows,
@@ -94,9 +96,10 @@
     }
 }
 
-/// Returns the time that each pool needs that is not done.
+/// Returns the time that each unfinished pool needs.
 ///
-/// A forecast names only pools that don't finish in time. At the end of the period these are all that are not done.
+/// A forecast names only the pools that don't finish in time. It is computed for the last millisecond of the period, when
+/// no unfinished pool can finish in time, so that it names all of them.
 fn find_needs(
     inventory: &Inventory,
     rules: &Rules,
--- a/crates/tool/src/wave/text.rs
+++ b/crates/tool/src/wave/text.rs
@@ -1,16 +1,16 @@
-//! The wave as text.
+//! Text output of the wave's status.
 
 use super::{
-    Outlook,
     Row, //
+    Status,
 };
-use crate::fleet::describe_time;
+use crate::fleet::describe_duration;
 use core::{
     fmt,
     time::Duration, //
 };
 
-impl fmt::Display for Outlook {
+impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "wave {}: {}", self.wave, self.progress)?;
         if let Some(pool) = &self.halted_by {
@@ -20,7 +20,7 @@
         let done = sum(|row| row.done);
         let running = sum(|row| row.running);
         let waiting = sum(|row| row.waiting);
-        let left = describe_time(Duration::from_secs(self.left_s));
+        let left = describe_duration(Duration::from_secs(self.left_s));
         writeln!(f, "; {done} done, {running} running, {waiting} waiting")?;
         writeln!(
             f,
@@ -53,7 +53,7 @@
 fn describe(needs_s: Option<u64>) -> String {
     match needs_s {
         Some(0) => "done".to_owned(),
-        Some(needs) => format!("within {}", describe_time(Duration::from_secs(needs))),
+        Some(needs) => format!("within {}", describe_duration(Duration::from_secs(needs))),
         None => "never as things are".to_owned(),
     }
 }
--- a/crates/tool/src/wave/wave.rs
+++ b/crates/tool/src/wave/wave.rs
@@ -1,6 +1,6 @@
 //! The verb `wave`.
 
-use super::Outlook;
+use super::Status;
 use crate::{
     cli::{
         Error,
@@ -67,7 +67,7 @@
 
 const USAGE: Error = Error::Usage("wave ");
 
-enum Act {
+enum Action {
     Show,
     Pause,
     Resume,
@@ -75,7 +75,7 @@
 }
 
 struct Arguments {
-    act: Act,
+    action: Action,
     at: Option<Time>,
     as_json: bool,
     options: Options,
@@ -85,28 +85,28 @@
 ///
 /// # Errors
 ///
-/// Fails if the command line is wrong, the fleet can't be read, the act is refused or nothing was published.
+/// Fails if the command line is wrong, the fleet can't be read, the action is refused or nothing was published.
 pub fn run<O: Write>(parser: &mut Parser, output: &mut O) -> Result<Exit, Report<Error>> {
     let Some(arguments) = parse(parser)? else {
         return print(output, HELP);
     };
     let view = fleet::read(arguments.options.platform)?;
-    let now = arguments.at.unwrap_or_else(fleet::present);
-    let proposals = match &arguments.act {
-        Act::Show => return show(&view, now, arguments.as_json, output),
-        Act::Pause => Vec::from_iter(wave::pause(&view.inventory, now)),
-        Act::Resume => wave::resume(&view.inventory, now),
-        Act::Skip(host) => skip(&view, host, now)?,
+    let now = arguments.at.unwrap_or_else(fleet::current_time);
+    let proposals = match &arguments.action {
+        Action::Show => return show(&view, now, arguments.as_json, output),
+        Action::Pause => Vec::from_iter(wave::pause(&view.inventory, now)),
+        Action::Resume => wave::resume(&view.inventory, now),
+        Action::Skip(host) => skip(&view, host, now)?,
     };
     if proposals.is_empty() {
-        return Err(Report::new(Error::Refused).attach(explain(&arguments.act)));
+        return Err(Report::new(Error::Refused).attach(describe_refusal(&arguments.action)));
     }
-    let (exit, text) = fleet::finish(arguments.options, &proposals)?;
+    let (exit, text) = fleet::publish(arguments.options, &proposals)?;
     print(output, &text)?;
     Ok(exit)
 }
 
-/// Reads the arguments, `None` if help is asked for.
+/// Parses the arguments; returns `None` if help is asked for.
 fn parse(parser: &mut Parser) -> Result<Option<Arguments>, Report<Error>> {
     let mut words: Vec<String> = Vec::new();
     let mut flags = Flags::default();
@@ -125,28 +125,28 @@
             other => return Err(unexpected(USAGE, other)),
         }
     }
-    let act = read_act(&words)?;
-    let is_shown = matches!(act, Act::Show);
+    let action = parse_action(&words)?;
+    let is_shown = matches!(action, Action::Show);
     if as_json && !is_shown {
         return Err(Report::new(USAGE).attach("--json goes without pause, resume and skip"));
     }
-    let options = flags.finish(!is_shown, &USAGE)?;
+    let options = flags.check(!is_shown, &USAGE)?;
     let at = flags.at;
     Ok(Some(Arguments {
-        act,
+        action,
         at,
         as_json,
         options,
     }))
 }
 
-fn read_act(words: &[String]) -> Result<Act, Report<Error>> {
+fn parse_action(words: &[String]) -> Result<Action, Report<Error>> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
-        [] => Ok(Act::Show),
-        ["pause"] => Ok(Act::Pause),
-        ["resume"] => Ok(Act::Resume),
-        ["skip", host] => Name::new(host).change_context(USAGE).map(Act::Skip),
+        [] => Ok(Action::Show),
+        ["pause"] => Ok(Action::Pause),
+        ["resume"] => Ok(Action::Resume),
+        ["skip", host] => Name::new(host).change_context(USAGE).map(Action::Skip),
         _ => Err(Report::new(USAGE).attach("use pause, resume, skip HOST or none of them")),
     }
 }
@@ -157,10 +157,10 @@
     as_json: bool,
     output: &mut O,
 ) -> Result<Exit, Report<Error>> {
-    let outlook = Outlook::new(&view.inventory, &Rules::default(), now);
+    let status = Status::new(&view.inventory, &Rules::default(), now);
     let text = match as_json {
-        true => serde_json::to_string_pretty(&outlook).change_context(Error::Output)? + "\n",
-        false => outlook.to_string(),
+        true => serde_json::to_string_pretty(&status).change_context(Error::Output)? + "\n",
+        false => status.to_string(),
     };
     print(output, &text)
 }
@@ -176,7 +176,7 @@
     if let Some(pool) = pool
         && pool.reservation.wave.number < number
     {
-        // The record that begins a wave clears the finished hosts, so that an earlier skip would be lost.
+        // The record that begins a wave clears the set of finished hosts, so a skip recorded before it would be lost.
         let problem = format!(
             "pool {} has not begun wave {number} yet; skip {name} once it has",
             pool.name
@@ -186,12 +186,12 @@
     Ok(Vec::from_iter(wave::skip(&view.inventory, key, now)))
 }
 
-fn explain(act: &Act) -> String {
-    match act {
-        Act::Show => String::new(),
-        Act::Pause => "the wave is halted already, or there is no pool".to_owned(),
-        Act::Resume => "the wave is not halted".to_owned(),
-        Act::Skip(host) => {
+fn describe_refusal(action: &Action) -> String {
+    match action {
+        Action::Show => String::new(),
+        Action::Pause => "the wave is halted already, or there is no pool".to_owned(),
+        Action::Resume => "the wave is not halted".to_owned(),
+        Action::Skip(host) => {
             format!("{host} is out of service, done in the wave or in no pool; see why host {host}")
         }
     }
--- a/crates/tool/src/why/answer.rs
+++ b/crates/tool/src/why/answer.rs
@@ -1,7 +1,7 @@
 //! Explanations as JSON.
 
 use crate::fleet::{
-    Figures,
+    Availability,
     describe_progress,
     describe_step, //
 };
@@ -33,25 +33,25 @@
     pub reservation_offset: u64,
     /// Wave that the pool takes part in, 0 before the first one.
     pub wave: u64,
-    /// Whether the pool's record lets the wave start drains.
+    /// Whether the pool's record says that the wave is running, paused or stopped.
     pub progress: &'static str,
     /// Availability of the pool.
-    pub figures: Figures,
+    pub figures: Availability,
     /// The host, if it was asked for.
-    pub host: Option<Place>,
+    pub host: Option<Host>,
 }
 
-/// Where a host stands.
+/// State of a host in its pool.
 #[derive(Debug)]
 #[derive(Serialize)]
-pub struct Place {
+pub struct Host {
     /// The host.
     pub host: String,
     /// Offset of its assignment.
     pub assignment_offset: u64,
-    /// Its step, how it finished, why it stays in service, or `ready`.
+    /// Step of its absence, result of its maintenance, reason why it stays in service, or `ready`.
     pub state: &'static str,
-    /// Zone that is worked on, if it keeps the host in service.
+    /// Other zone with hosts out of service, if that keeps the host in service.
     pub zone: Option<String>,
     /// Pool that the host moves to.
     pub target: Option<String>,
@@ -63,21 +63,21 @@
 pub struct Wave {
     /// Number of the wave that is due.
     pub wave: u64,
-    /// Whether it starts drains.
+    /// Whether it is running, paused or stopped; it starts drains only while it is running.
     pub progress: &'static str,
-    /// Pool whose record halts it, and the offset of that record.
+    /// Pool whose reservation record pauses or stops it, and the offset of that record.
     pub halted_by: Option<(String, u64)>,
     /// Hosts that are done.
     pub done: usize,
     /// All hosts of all pools.
     pub hosts: usize,
-    /// Returned hosts that failed.
+    /// Returned hosts that failed after their return to service.
     pub returned_failures: u64,
-    /// Seconds in service of returned hosts.
+    /// Seconds in service since their return, summed over the returned hosts.
     pub returned_seconds: u64,
-    /// Other hosts that failed.
+    /// Hosts not yet maintained that failed since the wave began or was last resumed.
     pub other_failures: u64,
-    /// Seconds in service of the other hosts.
+    /// Seconds since the wave began or was last resumed, summed over the hosts not yet maintained.
     pub other_seconds: u64,
     /// Pools that don't finish in time.
     pub late: Vec<Late>,
@@ -93,16 +93,16 @@
     pub reservation_offset: u64,
     /// Hosts not yet done.
     pub pending: usize,
-    /// What prevents it.
+    /// Why it does not finish in time.
     pub cause: &'static str,
-    /// Host whose work prevents it.
+    /// Host with pinned work, if that is the cause.
     pub host: Option<String>,
     /// Seconds that the remaining hosts need; `None` if they never finish.
     pub needs_s: Option<u64>,
-    /// Seconds that are left.
+    /// Seconds until the period of the wave ends.
     pub left_s: u64,
     /// Availability of the pool.
-    pub figures: Figures,
+    pub figures: Availability,
 }
 
 impl From<&Explanation> for Answer {
@@ -115,8 +115,8 @@
             reservation_offset: explanation.reservation_offset,
             wave: explanation.wave.number,
             progress: describe_progress(explanation.wave.progress),
-            figures: Figures::from(&explanation.budget),
-            host: host.map(|(name, offset, state)| Place {
+            figures: Availability::from(&explanation.budget),
+            host: host.map(|(name, offset, state)| Host {
                 host: name.to_string(),
                 assignment_offset: *offset,
                 state: describe(*state),
@@ -178,7 +178,7 @@
             host,
             needs_s: forecast.needs.map(|needs| needs.as_secs()),
             left_s: forecast.left.as_secs(),
-            figures: Figures::from(&forecast.budget),
+            figures: Availability::from(&forecast.budget),
         }
     }
 }
--- a/crates/tool/src/why/mod.rs
+++ b/crates/tool/src/why/mod.rs
@@ -5,8 +5,8 @@
 
 pub use answer::{
     Answer,
+    Host,
     Late,
-    Place,
     Wave, //
 };
 pub use why::{
--- a/crates/tool/src/why/why.rs
+++ b/crates/tool/src/why/why.rs
@@ -86,7 +86,7 @@
         Question::Host(name) => explain_host(&view, name, arguments.as_json)?,
         Question::Pool(name) => explain_pool(&view, name, arguments.as_json)?,
         Question::Wave => {
-            let now = arguments.at.unwrap_or_else(fleet::present);
+            let now = arguments.at.unwrap_or_else(fleet::current_time);
             let summary = explain::explain_wave(&view.inventory, &Rules::default(), now);
             show(&summary, &Wave::from(&summary), arguments.as_json)?
         }
@@ -94,7 +94,7 @@
     print(output, &text)
 }
 
-/// Reads the arguments, `None` if help is asked for.
+/// Parses the arguments; returns `None` if help is asked for.
 fn parse(parser: &mut Parser) -> Result<Option<Arguments>, Report<Error>> {
     let mut words: Vec<String> = Vec::new();
     let mut platform = None;
@@ -110,7 +110,7 @@
             other => return Err(unexpected(USAGE, other)),
         }
     }
-    let question = read_question(&words)?;
+    let question = parse_question(&words)?;
     if at.is_some() && !matches!(question, Question::Wave) {
         return Err(Report::new(USAGE).attach("--at MS goes with wave only"));
     }
@@ -123,7 +123,7 @@
     }))
 }
 
-fn read_question(words: &[String]) -> Result<Question, Report<Error>> {
+fn parse_question(words: &[String]) -> Result<Question, Report<Error>> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let name = |name| Name::new(name).change_context(USAGE);
     match words[..] {
@@ -147,7 +147,7 @@
 }
 
 fn explain_pool(view: &View, name: &Name, as_json: bool) -> Result<String, Report<Error>> {
-    // A pool that was removed keeps its key.
+    // A removed pool keeps its key, so the lookup goes over the pools that exist.
     let mut pools = view.inventory.pools();
     let found = pools.find(|(_, pool)| pool.name == *name);
     let explanation = found.and_then(|(key, _)| explain::explain_pool(&view.inventory, key));
--- a/crates/tool/tests/admin.rs
+++ b/crates/tool/tests/admin.rs
@@ -34,7 +34,7 @@
 
 /// Guards against an entry that is missing from the table without a word, or that hides the others.
 #[test]
-fn status_shows_all_entries_and_names_the_silent_one() {
+fn status_shows_all_entries_and_names_those_without_an_answer() {
     let mut entries = [
         Entry::start("entry-1", 5_000),
         Entry::start("entry-2", 5_000),
--- a/crates/tool/tests/departure.rs
+++ b/crates/tool/tests/drain.rs
@@ -72,7 +72,7 @@
 
 /// Guards against two drains that each fit the budget, but not together.
 #[test]
-fn the_slower_of_two_drains_is_told_who_was_faster() {
+fn second_of_two_concurrent_drains_is_stale() {
     let fleet = Fleet::start("depart-race");
     let address = fleet.address();
     let proxy = proxy::start(address, move || {
--- a/crates/tool/tests/fleet.rs
+++ b/crates/tool/tests/fleet.rs
@@ -88,7 +88,7 @@
 
 /// Guards against an answer about a host or pool that does not exist, or about a platform that does not answer.
 #[test]
-fn what_does_not_exist_is_named() {
+fn missing_hosts_and_pools_are_reported() {
     let fleet = Fleet::start("missing");
     let cases: &[&[&str]] = &[
         &["hosts", "--pool", "nowhere"],
--- a/crates/tool/tests/publish.rs
+++ b/crates/tool/tests/publish.rs
@@ -42,7 +42,7 @@
 
 /// Guards against an operator who is told "accepted" although another one was faster.
 #[test]
-fn the_slower_of_two_operators_is_told_who_was_faster() {
+fn concurrent_change_makes_the_publication_stale() {
     let platform = Platform::start(Settings::default()).unwrap();
     let address = platform.address();
     let rival = file(
@@ -101,7 +101,7 @@
 
 /// Guards against an assignment to a pool that does not exist, which would leave the host without work.
 #[test]
-fn a_host_without_its_pool_is_reported_as_the_ledger_sees_it() {
+fn a_host_in_an_unknown_pool_is_rejected_by_the_ledger() {
     let platform = Platform::start(Settings::default()).unwrap();
     let path = file(
         "orphan.jsonc",
--- a/crates/tool/tests/report.rs
+++ b/crates/tool/tests/report.rs
@@ -1,4 +1,4 @@
-//! Figures of the demo, computed of given samples.
+//! Availability of the demo, computed of given samples.
 
 use core::time::Duration;
 use sassafrascrank_tool::demo::{
--- a/crates/tool/tests/wave.rs
+++ b/crates/tool/tests/wave.rs
@@ -63,7 +63,7 @@
 
 /// Guards against an act that has no record, a wrong one, or one although it is refused or only a dry run.
 #[test]
-fn acts_on_the_wave_are_recorded() {
+fn actions_on_the_wave_are_recorded() {
     let mut fleet = Fleet::start("acts");
     fleet.run_wave();
     let hour = at(3_600);
@@ -97,7 +97,7 @@
 
 /// Guards against an operator whose act overwrites one that was accepted after the fleet was read.
 #[test]
-fn the_slower_of_two_operators_is_told_who_was_faster() {
+fn concurrent_change_makes_the_action_stale() {
     let mut fleet = Fleet::start("race");
     fleet.run_wave();
     let address = fleet.address();
@@ -111,7 +111,7 @@
 
 /// Guards against "refused" or "nothing was published" for an act that may have taken effect.
 #[test]
-fn an_act_without_an_answer_is_unknown() {
+fn an_action_without_an_answer_is_unknown() {
     let mut fleet = Fleet::start("lost");
     fleet.run_wave();
     let fleet = Arc::new(fleet);
