--- a/crates/tool/src/check/check.rs
+++ b/crates/tool/src/check/check.rs
@@ -1,6 +1,6 @@
 //! The verb `check`.
 
-use super::place;
+use super::location;
 use crate::cli::{
     Error,
     Exit,
@@ -51,18 +51,18 @@
 ///
 /// Fails if the command line is wrong or the file is rejected.
 pub fn run<O: Write>(parser: &mut Parser, output: &mut O) -> Result<Exit, Report<Error>> {
-    let mut settings = false;
+    let mut is_settings = false;
     let mut path = None;
     while let Some(argument) = parser.next().change_context(USAGE)? {
         match argument {
             Arg::Short('h') | Arg::Long("help") => return print(output, HELP),
-            Arg::Long("settings") => settings = true,
+            Arg::Long("settings") => is_settings = true,
             Arg::Value(value) if path.is_none() => path = Some(PathBuf::from(value)),
             other => return Err(unexpected(USAGE, other)),
         }
     }
     let path = path.ok_or_else(|| Report::new(USAGE).attach("FILE is missing"))?;
-    let accepted = match settings {
+    let accepted = match is_settings {
         true => check_settings(&path)?,
         false => check_document(&path)?,
     };
@@ -75,8 +75,8 @@
 fn check_settings(path: &Path) -> Result<String, Report<Error>> {
     let text = read(path)?;
     let settings = Settings::parse(&text).map_err(|error| {
-        let place = place::of_settings(&text, &error);
-        reject(path, error, place)
+        let location = location::in_settings(&text, &error);
+        reject(path, error, location)
     })?;
     let (host, zone) = (settings.host, settings.availability_zone);
     Ok(format!(
@@ -100,8 +100,8 @@
 pub(crate) fn read_document(path: &Path) -> Result<Document, Report<Error>> {
     let text = read(path)?;
     Document::parse(&text).map_err(|error| {
-        let place = place::of_document(&text, &error);
-        reject(path, error, place)
+        let location = location::in_document(&text, &error);
+        reject(path, error, location)
     })
 }
 
@@ -109,11 +109,11 @@
     fs::read_to_string(path).change_context_lazy(|| Error::File(path.to_owned()))
 }
 
-fn reject<E>(path: &Path, error: E, place: String) -> Report<Error>
+fn reject<E>(path: &Path, error: E, location: String) -> Report<Error>
 where
     E: core::error::Error + Send + Sync + 'static,
 {
     Report::new(error)
-        .attach(place)
+        .attach(location)
         .change_context(Error::Rejected(path.to_owned()))
 }
--- a/crates/tool/src/check/mod.rs
+++ b/crates/tool/src/check/mod.rs
@@ -1,7 +1,7 @@
 //! Check of a configuration document or a settings file.
 
 mod check;
-mod place;
+mod location;
 
 pub(crate) use check::read_document;
 pub use check::{
--- a/crates/tool/src/client/admin.rs
+++ b/crates/tool/src/client/admin.rs
@@ -1,4 +1,4 @@
-//! Reads from the admin endpoints of several entries at once.
+//! Concurrent reads from the admin endpoints of several entries.
 
 use super::{
     Connection,
@@ -20,23 +20,23 @@
     time::timeout, //
 };
 
-/// Longest time until an entry's whole answer.
+/// Longest time until the whole answer of an entry has arrived, connection included.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
 
-/// Body that an entry answered with, or why there is none.
+/// Body of the answer of an entry, or the error.
 #[derive(Debug)]
 pub struct Reply {
-    /// Address that was asked.
+    /// Address of the admin endpoint.
     pub address: SocketAddr,
     /// Body of the answer.
     pub body: Result<Bytes, Error>,
 }
 
-/// An entry did not answer as asked.
+/// Failure to read from an entry.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// Nothing listens at the address.
+    /// The connection can't be opened.
     #[error("can't connect ({0}); check the address and whether the entry runs")]
     Connect(#[from] io::Error),
     /// The connection broke.
@@ -45,20 +45,20 @@
     /// The answer took too long.
     #[error("no whole answer within {} s; try again", ANSWER_LIMIT.as_secs())]
     Late,
-    /// The answer is an error.
+    /// The status is not 200 OK; holds the status and the body.
     #[error("status {0}: {1}")]
     Status(StatusCode, String),
     /// The request can't be made.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The answer can't be read.
+    /// The body can't be decoded.
     #[error("the answer can't be read ({0}); use a tool of the same version as the entry")]
     Body(String),
 }
 
-/// Reads `path` from each address at once; the replies stand in the order of the addresses.
+/// Reads `path` from all addresses concurrently; the replies are in the order of the addresses.
 ///
-/// Runs on a `LocalSet`.
+/// Must run within a `LocalSet`.
 pub async fn read_all(addresses: &[SocketAddr], path: &str) -> Vec<Reply> {
     let mut reads = JoinSet::new();
     for (index, address) in addresses.iter().copied().enumerate() {
--- a/crates/tool/src/client/connection.rs
+++ b/crates/tool/src/client/connection.rs
@@ -17,30 +17,31 @@
 use std::io;
 use tokio::net::TcpStream;
 
-/// Largest answer in bytes; 2,000 records of a time line take about 0.6 MB.
-const BODY_LIMIT: usize = 16 << 20;
+/// Largest body of an answer in bytes; far more than 2,000 records of a time line need.
+const BODY_BYTES_MAX: usize = 16 << 20;
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
 }
 
-/// A request without a whole answer.
+/// Failure of a request.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Failure {
-    /// The connection took nothing of the request, which comes back.
+    /// The connection was closed before any part of the request was sent; holds the request, so that it can be sent
+    /// again.
     #[error("the connection was closed before the request was sent")]
     Unsent(Box<Request<Full<Bytes>>>),
-    /// The connection broke after the request may have been sent, or in the middle of the answer.
+    /// The connection broke when the request may have been sent already, or in the middle of the answer.
     #[error("the connection broke before the whole answer had come: {0}")]
-    Cut(String),
+    Interrupted(String),
 }
 
 /// An open connection.
@@ -50,17 +51,17 @@
 }
 
 impl Connection {
-    /// Connects; the connection is driven by a task of the present `tokio` runtime.
+    /// Connects; a task of the current `tokio` runtime drives the connection.
     ///
     /// # Errors
     ///
-    /// Fails if nothing listens at the address.
+    /// Fails if the connection can't be opened.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
-        // An error of the connection is also an error of its request.
+        // The request that is in flight reports an error of the connection too.
         tokio::spawn(async move { connection.await.ok() });
         Ok(Self { sender })
     }
@@ -70,11 +71,11 @@
         self.sender.is_closed()
     }
 
-    /// Sends a request and reads the whole answer; returns the connection if it can be used again.
+    /// Sends a request and reads the complete answer; also returns the connection if it can be reused.
     ///
     /// # Errors
     ///
-    /// Tells a request that was not sent from one that may have been.
+    /// Distinguishes a request that was not sent from one that may have been sent.
     pub async fn send(
         mut self,
         request: Request<Full<Bytes>>,
@@ -82,11 +83,11 @@
         let sent = self.sender.try_send_request(request).await;
         let response = sent.map_err(|mut error| match error.take_message() {
             Some(request) => Failure::Unsent(Box::new(request)),
-            None => Failure::Cut(error.error().to_string()),
+            None => Failure::Interrupted(error.error().to_string()),
         })?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, BODY_LIMIT).collect().await;
-        let body = body.map_err(|error| Failure::Cut(error.to_string()))?;
+        let body = Limited::new(body, BODY_BYTES_MAX).collect().await;
+        let body = body.map_err(|error| Failure::Interrupted(error.to_string()))?;
         let answer = Answer {
             status: parts.status,
             headers: parts.headers,
--- a/crates/tool/src/client/mod.rs
+++ b/crates/tool/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the tool: connections, pools of idle ones, and reads of admin endpoints.
+//! HTTP client of the tool: connections, connection pools, and reads from admin endpoints.
 
 mod admin;
 mod connection;
--- a/crates/tool/src/client/pool.rs
+++ b/crates/tool/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to one address.
+//! Pool of idle connections to one address.
 
 use super::{
     Answer,
@@ -15,26 +15,26 @@
 use hyper::Request;
 use std::time::Instant;
 
-/// Most idle connections; more are closed.
-const IDLE_LIMIT: usize = 256;
+/// Most idle connections that are kept; further ones are closed.
+const IDLE_CONNECTIONS_MAX: usize = 256;
 
-/// Longest time for which a connection stays idle.
+/// Longest time for which an idle connection is kept.
 ///
 /// An entry that shuts down closes idle connections after its shutdown delay, and a request sent at that moment is
 /// lost. The first answer within the delay says `Connection: close`, so a caller whose idle time is shorter than the
 /// delay has no connection left by then.
-const IDLE_TIME: Duration = Duration::from_millis(200);
+const IDLE_TIME_MAX: Duration = Duration::from_millis(200);
 
 /// Connections to one address, reused by the requests of one thread.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
-    /// Idle connections and since when they are idle, the latest last.
+    /// Idle connections with the time since when they are idle, in ascending order.
     idle: RefCell<Vec<(Instant, Connection)>>,
 }
 
 impl Pool {
-    /// Makes a pool that opens connections as they are needed.
+    /// Makes an empty pool, which opens connections on demand.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -42,14 +42,15 @@
         }
     }
 
-    /// Sends a request on an idle connection or on a new one; a connection that took nothing of it is replaced.
+    /// Sends a request on an idle connection or on a new one. If an idle connection turns out to be closed before any
+    /// part of the request was sent, the next one is tried.
     ///
     /// # Errors
     ///
-    /// Tells a request that was not sent from one that may have been.
+    /// Distinguishes a request that was not sent from one that may have been sent.
     pub async fn send(&self, mut request: Request<Full<Bytes>>) -> Result<Answer, Failure> {
         loop {
-            let idle = self.take();
+            let idle = self.take_idle();
             let reused = idle.is_some();
             let connection = match idle {
                 Some(connection) => connection,
@@ -60,7 +61,7 @@
             };
             match connection.send(request).await {
                 Ok((answer, connection)) => {
-                    self.give(connection);
+                    self.put_back(connection);
                     return Ok(answer);
                 }
                 Err(Failure::Unsent(unsent)) if reused => request = *unsent,
@@ -69,9 +70,9 @@
         }
     }
 
-    fn take(&self) -> Option<Connection> {
+    fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let expired = idle.partition_point(|(since, _)| since.elapsed() >= IDLE_TIME);
+        let expired = idle.partition_point(|(since, _)| since.elapsed() >= IDLE_TIME_MAX);
         idle.drain(..expired);
         loop {
             let (_, connection) = idle.pop()?;
@@ -81,9 +82,9 @@
         }
     }
 
-    fn give(&self, connection: Option<Connection>) {
+    fn put_back(&self, connection: Option<Connection>) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < IDLE_LIMIT {
+        if idle.len() < IDLE_CONNECTIONS_MAX {
             idle.extend(connection.map(|connection| (Instant::now(), connection)));
         }
     }
--- a/crates/tool/src/demo/caller.rs
+++ b/crates/tool/src/demo/caller.rs
@@ -45,7 +45,7 @@
             };
             match pool.send(request).await {
                 Ok(answer) => return fate(&answer),
-                Err(Failure::Cut(_)) => return Fate::Cut,
+                Err(Failure::Interrupted(_)) => return Fate::Cut,
                 Err(Failure::Unsent(_)) => {}
             }
         }
--- a/crates/tool/src/digest/digest.rs
+++ b/crates/tool/src/digest/digest.rs
@@ -37,8 +37,8 @@
 ";
 
 const USAGE: Error = Error::Usage("digest ");
-/// Largest credential in bytes; the head of a request has to hold it.
-const CREDENTIAL_LIMIT: usize = 4_096;
+/// Largest credential in bytes; it has to fit into the header of a request.
+const CREDENTIAL_BYTES_MAX: usize = 4_096;
 
 /// Runs the verb.
 ///
@@ -57,14 +57,18 @@
         };
     }
     let mut credential = Vec::new();
-    let limit = CREDENTIAL_LIMIT as u64 + 2;
+    // One byte for a line end, and one that shows that the credential is too long.
+    let limit = CREDENTIAL_BYTES_MAX as u64 + 2;
     let read = input.take(limit).read_to_end(&mut credential);
     read.change_context(Error::Input)?;
     if credential.ends_with(b"\n") {
         credential.pop();
     }
-    if credential.is_empty() || credential.len() > CREDENTIAL_LIMIT {
-        let problem = format!("{} bytes: use 1 to {CREDENTIAL_LIMIT}", credential.len());
+    if credential.is_empty() || credential.len() > CREDENTIAL_BYTES_MAX {
+        let problem = format!(
+            "{} bytes: use 1 to {CREDENTIAL_BYTES_MAX}",
+            credential.len()
+        );
         return Err(Report::new(Error::Input).attach(problem));
     }
     print(output, &format!("{}\n", encode(&credential)))
--- a/crates/tool/src/hosts/mod.rs
+++ b/crates/tool/src/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts of the fleet.
+//! Table of the hosts of the fleet.
 
 mod hosts;
 mod row;
--- a/crates/tool/src/hosts/row.rs
+++ b/crates/tool/src/hosts/row.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// Hosts, ordered by name.
+/// Table of hosts, ordered by name.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub struct Table {
@@ -34,14 +34,14 @@
     pub rack: Option<String>,
     /// `live`, `leaving`, `failed` or `unlisted`.
     pub condition: &'static str,
-    /// Step of its voluntary absence.
+    /// Step of its voluntary absence: `draining`, `out` or `returning`.
     pub step: Option<&'static str>,
     /// Pool that it moves to.
     pub target: Option<String>,
 }
 
 impl Table {
-    /// Shows the hosts of one pool, or all of them.
+    /// Makes the rows of the hosts in `pool`, or of all hosts if it is `None`.
     pub fn new(view: &View, pool: Option<&Name>) -> Self {
         let assigned = view.state.hosts().map(|(name, _, _)| name);
         let names: BTreeSet<&Name> = assigned.chain(view.listed.keys()).collect();
@@ -71,19 +71,23 @@
             pool: pool.map(|pool| pool.name.to_string()),
             zone: listed.map(|host| host.zone.to_string()),
             rack: listed.map(|host| host.rack.to_string()),
-            condition: describe(listed.map(|host| host.condition), pool, name),
+            condition: describe_condition(listed.map(|host| host.condition), pool, name),
             step: absence.map(|absence| describe_step(absence.step)),
             target: target.map(Name::to_string),
         }
     }
 }
 
-fn describe(condition: Option<Condition>, pool: Option<&Pool>, name: &Name) -> &'static str {
-    let is_recorded = pool.is_some_and(|pool| pool.reservation.failed.contains_key(name));
+fn describe_condition(
+    condition: Option<Condition>,
+    pool: Option<&Pool>,
+    name: &Name,
+) -> &'static str {
+    let is_recorded_as_failed = pool.is_some_and(|pool| pool.reservation.failed.contains_key(name));
     match condition {
         None => "unlisted",
         Some(Condition::Leaving) => "leaving",
-        Some(Condition::Live) if is_recorded => "failed",
+        Some(Condition::Live) if is_recorded_as_failed => "failed",
         Some(Condition::Live) => "live",
     }
 }
--- a/crates/tool/src/pools/mod.rs
+++ b/crates/tool/src/pools/mod.rs
@@ -1,4 +1,4 @@
-//! Pools with their availability and budgets.
+//! Table of the pools with their availability and budgets.
 
 mod pools;
 mod row;
--- a/crates/tool/src/pools/row.rs
+++ b/crates/tool/src/pools/row.rs
@@ -16,7 +16,7 @@
 };
 use serde::Serialize;
 
-/// Pools, ordered by name.
+/// Table of pools, ordered by name.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub struct Table {
@@ -43,30 +43,31 @@
 pub struct Wave {
     /// Number of the wave.
     pub number: u64,
-    /// Whether it starts drains.
+    /// Whether it is running, paused or stopped; it starts drains only while it is running.
     pub progress: &'static str,
-    /// Pool whose record halts the wave in all pools.
+    /// Pool whose reservation record pauses or stops the wave in all pools.
     pub halted_by: Option<String>,
-    /// Hosts that get no new work.
+    /// Hosts that get no new work while their work ends or moves.
     pub draining: usize,
-    /// Hosts that may be rebooted.
+    /// Hosts that have no work and may be rebooted.
     pub out: usize,
-    /// Hosts that have yet to prove healthy.
+    /// Hosts that are back but not yet known to be healthy.
     pub returning: usize,
-    /// Hosts that are done.
+    /// Hosts whose maintenance is done, broken or skipped.
     pub finished: usize,
 }
 
 impl From<&Inventory> for Table {
     fn from(inventory: &Inventory) -> Self {
-        let halting = |pool: &inventory::Pool| pool.reservation.wave.progress != Progress::Running;
+        let is_halting =
+            |pool: &inventory::Pool| pool.reservation.wave.progress != Progress::Running;
         let mut pools = inventory.pools();
-        let holder = pools.find(|(_, pool)| halting(pool));
-        let holder = holder.map(|(_, pool)| pool);
+        let halting_pool = pools.find(|(_, pool)| is_halting(pool));
+        let halting_pool = halting_pool.map(|(_, pool)| pool);
         let rows = inventory.pools().map(|(key, pool)| Row {
             pool: pool.name.to_string(),
             figures: Availability::from(&Budget::new(inventory, key, &pool.reservation)),
-            wave: Wave::new(pool, holder),
+            wave: Wave::new(pool, halting_pool),
         });
         Self {
             pools: rows.collect(),
@@ -75,11 +76,11 @@
 }
 
 impl Wave {
-    fn new(pool: &inventory::Pool, holder: Option<&inventory::Pool>) -> Option<Self> {
+    fn new(pool: &inventory::Pool, halting_pool: Option<&inventory::Pool>) -> Option<Self> {
         let reservation = &pool.reservation;
         let wave = reservation.wave;
-        let holder = match wave.progress {
-            Progress::Running => holder,
+        let halting_pool = match wave.progress {
+            Progress::Running => halting_pool,
             _ => Some(pool),
         };
         if wave.number == 0 && wave.progress == Progress::Running && reservation.hosts.is_empty() {
@@ -89,12 +90,18 @@
         let count = |step: Step| {
             let hosts = reservation.hosts.iter();
             let maintained = hosts.filter(|(host, _)| !reservation.moves.contains_key(*host));
-            maintained.filter(|(_, it)| it.step == step).count()
+            maintained
+                .filter(|(_, absence)| absence.step == step)
+                .count()
         };
         Some(Self {
             number: wave.number,
-            progress: describe_progress(holder.map_or(wave, |it| it.reservation.wave).progress),
-            halted_by: holder.map(|pool| pool.name.to_string()),
+            progress: describe_progress(
+                halting_pool
+                    .map_or(wave, |pool| pool.reservation.wave)
+                    .progress,
+            ),
+            halted_by: halting_pool.map(|pool| pool.name.to_string()),
             draining: count(Step::Draining),
             out: count(Step::Out),
             returning: count(Step::Returning),
--- a/crates/tool/src/publish/mod.rs
+++ b/crates/tool/src/publish/mod.rs
@@ -1,4 +1,4 @@
-//! Publishing of a configuration document.
+//! Publication of a configuration document.
 
 mod publish;
 
--- a/crates/tool/src/publish/publish.rs
+++ b/crates/tool/src/publish/publish.rs
@@ -129,7 +129,10 @@
 pub(crate) fn describe(outcome: &Outcome) -> (Exit, String) {
     match outcome {
         Outcome::Accepted { offset, subjects } => {
-            let subjects: String = subjects.iter().map(|it| format!("  {it}\n")).collect();
+            let subjects: String = subjects
+                .iter()
+                .map(|subject| format!("  {subject}\n"))
+                .collect();
             (
                 Exit::Done,
                 format!("accepted at offset {offset}:\n{subjects}"),
--- a/crates/tool/src/status/mod.rs
+++ b/crates/tool/src/status/mod.rs
@@ -1,4 +1,4 @@
-//! State of entries.
+//! Status of several entries.
 
 mod status;
 pub mod summary;
--- a/crates/tool/src/status/summary.rs
+++ b/crates/tool/src/status/summary.rs
@@ -1,4 +1,4 @@
-//! What several entries say about themselves.
+//! Statuses that several entries report.
 
 use crate::client::{
     Error,
@@ -7,7 +7,7 @@
 use sassafrascrank_observe::status::wire::Status;
 use serde::Serialize;
 
-/// Entries that answered and those that did not.
+/// Entries that reported a status, and those that did not.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub struct Summary {
@@ -23,7 +23,7 @@
 pub struct Entry {
     /// Address of its admin endpoint.
     pub admin: String,
-    /// What it says.
+    /// The status that it reports.
     #[serde(flatten)]
     pub status: Status,
 }
@@ -34,7 +34,7 @@
 pub struct Failure {
     /// Address of its admin endpoint.
     pub admin: String,
-    /// Why.
+    /// Cause, with a remedy.
     pub error: String,
 }
 
--- a/crates/tool/src/status/table.rs
+++ b/crates/tool/src/status/table.rs
@@ -1,4 +1,4 @@
-//! Status of entries as text.
+//! Text output of the status of entries.
 
 use super::summary::{
     Entry,
@@ -35,11 +35,11 @@
                 status.host,
                 status.zone,
                 status.phase,
-                // Exact for the uptimes that occur.
+                // An `f64` holds every whole number of milliseconds below 2^53 exactly.
                 status.uptime_ms as f64 / 1_000.0,
                 status.configuration,
                 status.membership,
-                log(status.log.lost_ms),
+                describe_log(status.log.lost_ms),
                 format!("{}/{}", reachable.count(), status.members.len()),
             )?;
         }
@@ -96,7 +96,7 @@
     }
 }
 
-fn log(lost_ms: Option<u64>) -> String {
+fn describe_log(lost_ms: Option<u64>) -> String {
     match lost_ms {
         None => "ok".to_owned(),
         Some(millis) => format!("away {} s", millis / 1_000),
--- a/crates/tool/src/timeline/line.rs
+++ b/crates/tool/src/timeline/line.rs
@@ -3,8 +3,8 @@
 use core::fmt::Write;
 use sassafrascrank_observe::timeline::Record;
 
-/// Writes one line for each record; times are seconds after the first one.
-pub fn write(records: &[Record]) -> String {
+/// Renders one line for each record; times are in seconds after the earliest record.
+pub fn render(records: &[Record]) -> String {
     let Some(first) = records.iter().map(|record| record.time).min() else {
         return "no records\n".to_owned();
     };
@@ -17,13 +17,13 @@
             "{time:>12.6} {:<16} {:<24}{}",
             record.process.host,
             record.kind.as_str(),
-            fields(record),
+            render_fields(record),
         );
     }
     text
 }
 
-fn fields(record: &Record) -> String {
+fn render_fields(record: &Record) -> String {
     let mut text = String::new();
     let mut add = |name: &str, value: Option<String>| {
         if let Some(value) = value {
--- a/crates/tool/src/timeline/mod.rs
+++ b/crates/tool/src/timeline/mod.rs
@@ -3,7 +3,7 @@
 mod line;
 mod timeline;
 
-pub use line::write;
+pub use line::render;
 pub use timeline::{
     HELP,
     run, //
--- a/crates/tool/src/timeline/timeline.rs
+++ b/crates/tool/src/timeline/timeline.rs
@@ -65,8 +65,8 @@
 #[derive(Default)]
 struct Arguments {
     admin: Vec<SocketAddr>,
-    /// Query parameters; each value was checked and needs no escapes.
-    conditions: Vec<(&'static str, String)>,
+    /// Query parameters; the values are checked names and numbers, so they need no escapes.
+    filters: Vec<(&'static str, String)>,
     limit: Option<usize>,
     as_json: bool,
 }
@@ -82,17 +82,18 @@
     };
     let limit = arguments.limit.unwrap_or(500);
     let mut path = format!("/timeline?limit={limit}");
-    for (name, value) in &arguments.conditions {
+    for (name, value) in &arguments.filters {
         path += &format!("&{name}={value}");
     }
     let replies = block_on(read_all(&arguments.admin, &path))?;
     let (records, failed) = collect(replies);
     let merged = merge(records);
-    // Each entry sent its newest records; older ones of one entry may lie before those that another left out.
+    // Each entry sends its newest `limit` records. Records older than the newest `limit` of all are dropped, since
+    // other entries may have left out records of the same time.
     let newest = &merged[merged.len().saturating_sub(limit)..];
     let mut text = match arguments.as_json {
         true => encode(newest)?,
-        false => line::write(newest),
+        false => line::render(newest),
     };
     for (address, error) in &failed {
         let line = format!("{address}: no time line: {error}");
@@ -120,17 +121,17 @@
             Arg::Long("limit") => arguments.limit = Some(value(parser, &USAGE)?),
             Arg::Long("request") => {
                 let id: request::Id = value(parser, &USAGE)?;
-                arguments.conditions.push(("request", id.to_string()));
+                arguments.filters.push(("request", id.to_string()));
             }
             Arg::Long("configuration") => {
                 let offset: u64 = value(parser, &USAGE)?;
                 arguments
-                    .conditions
+                    .filters
                     .push(("configuration", offset.to_string()));
             }
-            Arg::Long("host") => arguments.conditions.push(("host", name(parser)?)),
-            Arg::Long("pool") => arguments.conditions.push(("pool", name(parser)?)),
-            Arg::Long("customer") => arguments.conditions.push(("customer", name(parser)?)),
+            Arg::Long("host") => arguments.filters.push(("host", parse_name(parser)?)),
+            Arg::Long("pool") => arguments.filters.push(("pool", parse_name(parser)?)),
+            Arg::Long("customer") => arguments.filters.push(("customer", parse_name(parser)?)),
             other => return Err(unexpected(USAGE, other)),
         }
     }
@@ -146,16 +147,16 @@
     Ok(Some(arguments))
 }
 
-fn name(parser: &mut Parser) -> Result<String, Report<Error>> {
+fn parse_name(parser: &mut Parser) -> Result<String, Report<Error>> {
     let text: String = value(parser, &USAGE)?;
     let name = Name::new(&text).change_context(USAGE)?;
     Ok(name.to_string())
 }
 
-/// Entry that did not answer as asked, and why.
+/// Address of an entry that sent no usable answer, and the cause.
 type Failure = (SocketAddr, String);
 
-/// Decodes the records of all entries that answered as asked.
+/// Decodes the records of all replies, and collects the failures.
 fn collect(replies: Vec<Reply>) -> (Vec<Record>, Vec<Failure>) {
     let mut records = Vec::new();
     let mut failed = Vec::new();
--- a/crates/tool/src/wave/status.rs
+++ b/crates/tool/src/wave/status.rs
@@ -98,8 +98,8 @@
 
 /// Returns the time that each unfinished pool needs.
 ///
-/// A forecast names only the pools that don't finish in time. It is computed for the last millisecond of the period, when
-/// no unfinished pool can finish in time, so that it names all of them.
+/// A forecast names only the pools that don't finish in time. It is computed for the last millisecond of the period,
+/// when no unfinished pool can finish in time, so that it names all of them.
 fn find_needs(
     inventory: &Inventory,
     rules: &Rules,
