--- a/crates/tool/src/demo/caller.rs
+++ b/crates/tool/src/demo/caller.rs
@@ -1,10 +1,10 @@
-//! Callers of one house.
+//! Requests of one customer.
 
 use super::{
     deployment::credential,
     plan::POOL,
     sample::{
-        Fate,
+        Outcome,
         Work, //
     },
 };
@@ -21,45 +21,46 @@
     StatusCode, //
 };
 
-/// Callers of one house with their connections to each entry.
+/// Credential of one customer, and connections to each entry.
 pub(super) struct Caller {
     credential: String,
-    pools: Vec<Pool>,
+    connections: Vec<Pool>,
 }
 
 impl Caller {
-    pub(super) fn new(house: usize, entries: &[SocketAddr]) -> Self {
+    pub(super) fn new(customer: usize, entries: &[SocketAddr]) -> Self {
         Self {
-            credential: format!("Bearer {}", credential(house)),
-            pools: entries.iter().copied().map(Pool::new).collect(),
+            credential: format!("Bearer {}", credential(customer)),
+            connections: entries.iter().copied().map(Pool::new).collect(),
         }
     }
 
-    /// Sends the request with this number; like a balancer, it chooses another entry if one accepts no connection.
-    pub(super) async fn call(&self, work: Work, number: u32) -> Fate {
-        let first = usize::try_from(number).unwrap_or(0) % self.pools.len();
-        let (before, from) = self.pools.split_at(first);
-        for pool in from.iter().chain(before) {
+    /// Sends the request with this number. Requests take turns among the entries; like a load balancer, it tries the
+    /// next entry if one accepts no connection.
+    pub(super) async fn call(&self, work: Work, number: u32) -> Outcome {
+        let first = usize::try_from(number).unwrap_or(0) % self.connections.len();
+        let (before, from) = self.connections.split_at(first);
+        for entry in from.iter().chain(before) {
             let Some(request) = self.request(work, number) else {
-                return Fate::Unsent;
+                return Outcome::Unsent;
             };
-            match pool.send(request).await {
-                Ok(answer) => return fate(&answer),
-                Err(Failure::Interrupted(_)) => return Fate::Cut,
+            match entry.send(request).await {
+                Ok(answer) => return read_outcome(&answer),
+                Err(Failure::Interrupted(_)) => return Outcome::Cut,
                 Err(Failure::Unsent(_)) => {}
             }
         }
-        Fate::Unsent
+        Outcome::Unsent
     }
 
-    /// Tells whether every entry answers quotes.
+    /// Returns whether every entry answers quotes.
     pub(super) async fn is_served(&self) -> bool {
-        for pool in &self.pools {
+        for entry in &self.connections {
             let Some(request) = self.request(Work::Quote, 0) else {
                 return false;
             };
-            let answer = pool.send(request).await;
-            if !answer.is_ok_and(|answer| fate(&answer) == Fate::Answered) {
+            let answer = entry.send(request).await;
+            if !answer.is_ok_and(|answer| read_outcome(&answer) == Outcome::Answered) {
                 return false;
             }
         }
@@ -67,7 +68,8 @@
     }
 
     fn request(&self, work: Work, number: u32) -> Option<Request<Full<Bytes>>> {
-        // A ledger job is written with PUT, so it may run again after a failure; POST would need a key.
+        // PUT is idempotent, so an entry may repeat a ledger request after a failure; POST would need an idempotency
+        // key.
         let method = match work {
             Work::Quote => "GET",
             Work::Ledger => "PUT",
@@ -87,12 +89,13 @@
     }
 }
 
-/// Reads the outcome of an answer; an answer without one is no answer of an entry.
-fn fate(answer: &Answer) -> Fate {
+/// Reads the outcome header of an answer. An answer without a known outcome, or with an error status of the upstream,
+/// counts as unknown.
+fn read_outcome(answer: &Answer) -> Outcome {
     let outcome = answer.headers.get("sassafrascrank-outcome");
     match outcome.map(|outcome| outcome.as_bytes()) {
-        Some(b"answered") if answer.status == StatusCode::OK => Fate::Answered,
-        Some(b"not-run") => Fate::NotRun,
-        _ => Fate::Unknown,
+        Some(b"answered") if answer.status == StatusCode::OK => Outcome::Answered,
+        Some(b"not-run") => Outcome::NotRun,
+        _ => Outcome::Unknown,
     }
 }
--- a/crates/tool/src/demo/demo.rs
+++ b/crates/tool/src/demo/demo.rs
@@ -8,8 +8,8 @@
     jobs,
     load::Load,
     plan::{
+        CUSTOMERS,
         ENTRIES,
-        HOUSES,
         Plan,
         Ports,
         SECONDS, //
@@ -78,9 +78,9 @@
 jobs all hosts are due for maintenance, 3 at once; after 80 jobs the entry that leads stops.
 
 ";
-/// Least and most seconds of serving without load.
+/// Range of seconds of serving without load.
 const SERVE_SECONDS: core::ops::RangeInclusive<u64> = 1..=3_600;
-/// Longest time until the entries have the contracts in force, see invariant `config`.
+/// Longest time until all entries serve quotes, which they do once the published contracts are in force.
 const START_LIMIT: Duration = Duration::from_secs(8);
 
 /// Runs the verb.
@@ -108,7 +108,7 @@
         let problem = format!("--seconds {}: use 5 to 60", plan.seconds);
         return Err(Report::new(USAGE).attach(problem));
     }
-    // The lines of both entries would stand between the figures.
+    // Log lines of the entries would be mixed with the results.
     let errors = LevelFilter::MoreSevereEqual(Level::Error);
     spdlog::default_logger().set_level_filter(errors);
     if with_jobs {
@@ -132,7 +132,7 @@
     })
 }
 
-/// Runs the demo of jobs.
+/// Runs the demo of jobs, for `--jobs`.
 fn run_jobs<O: Write>(as_json: bool, output: &mut O) -> Result<Exit, Report<Error>> {
     if !as_json {
         print(output, JOBS_INTRODUCTION)?;
@@ -143,7 +143,7 @@
         false => summary.to_string(),
     };
     print(output, &text)?;
-    Ok(if summary.is_kept() {
+    Ok(if summary.is_success() {
         Exit::Done
     } else {
         Exit::Failed
@@ -159,7 +159,7 @@
     )
 }
 
-/// Serves callers and operators for some seconds.
+/// Serves callers and operators for `seconds`, without any load.
 fn serve<O: Write>(seed: u64, seconds: u64, output: &mut O) -> Result<Exit, Report<Error>> {
     if !SERVE_SECONDS.contains(&seconds) {
         return Err(Report::new(USAGE).attach(format!("--serve {seconds}: use 1 to 3600")));
@@ -174,8 +174,8 @@
                 index + 1
             );
         }
-        for (index, house) in HOUSES.iter().enumerate() {
-            text += &format!("customer {house} credential {}\n", credential(index));
+        for (index, customer) in CUSTOMERS.iter().enumerate() {
+            text += &format!("customer {customer} credential {}\n", credential(index));
         }
         print(output, &text)?;
         sleep(Duration::from_secs(seconds)).await;
@@ -201,7 +201,7 @@
     Ok(report::Report::new(&plan, &samples, skipped))
 }
 
-/// Shuts an entry down on a thread of its own, since that blocks.
+/// Shuts an entry down on a separate thread, since the shutdown blocks.
 async fn shut_down(process: Process) -> Result<(), process::Error> {
     let (sender, receiver) = oneshot::channel();
     std::thread::spawn(move || sender.send(process.shut_down()));
--- a/crates/tool/src/demo/deployment.rs
+++ b/crates/tool/src/demo/deployment.rs
@@ -1,8 +1,8 @@
 //! Platform, runners and entries in this process, on loopback addresses.
 
 use super::plan::{
+    CUSTOMERS,
     ENTRIES,
-    HOUSES,
     POOL,
     Ports,
     RUNNERS,
@@ -43,10 +43,10 @@
 };
 use serde_json::json;
 
-/// Longest time for the contracts to be accepted.
+/// Longest time until the platform has accepted the contracts.
 const PUBLISH_LIMIT: Duration = Duration::from_secs(5);
 
-/// Everything that runs; dropping it stops the stand-ins.
+/// All running parts; dropping it stops the stand-ins.
 pub(super) struct Deployment {
     pub(super) entries: Vec<Process>,
     runners: Vec<Runner>,
@@ -65,14 +65,14 @@
         let mut runners = Vec::new();
         for index in 0..RUNNERS {
             let settings = runner::Settings {
-                name: host(index),
+                name: runner_name(index),
                 slots: SLOTS,
                 seed: seed.wrapping_add(index as u64),
                 ..Default::default()
             };
             runners.push(Runner::start(settings).change_context(Error::Start)?);
         }
-        platform.set_hosts(runners.iter().enumerate().map(entry_of_list).collect());
+        platform.set_hosts(runners.iter().enumerate().map(listed_host).collect());
         publish_contracts(&platform).await?;
         let mut deployment = Self {
             entries: Vec::new(),
@@ -102,7 +102,7 @@
         Process::start(settings, Options::default()).change_context(Error::Demo)
     }
 
-    /// Shuts the entries and then the stand-ins down.
+    /// Shuts down the entries concurrently, and then the stand-ins.
     pub(super) fn shut_down(self) -> Result<(), Report<Error>> {
         let threads: Vec<_> = self
             .entries
@@ -119,18 +119,18 @@
     }
 }
 
-/// Returns the credential of a house, as in `examples/trenzas`.
-pub(super) fn credential(house: usize) -> String {
-    format!("example-{}", HOUSES[house])
+/// Returns the credential of a customer, as in `examples/trenzas`.
+pub(super) fn credential(customer: usize) -> String {
+    format!("example-{}", CUSTOMERS[customer])
 }
 
-fn host(index: usize) -> String {
+fn runner_name(index: usize) -> String {
     format!("runner-{}", index + 1)
 }
 
-fn entry_of_list((index, runner): (usize, &Runner)) -> platform::Host {
+fn listed_host((index, runner): (usize, &Runner)) -> platform::Host {
     platform::Host {
-        host: host(index),
+        host: runner_name(index),
         address: runner.address().to_string(),
         zone: ZONE.to_owned(),
         rack: "rack-1".to_owned(),
@@ -141,21 +141,21 @@
 
 /// Writes the configuration document of the demo.
 fn document() -> String {
-    let contract = |house| {
+    let contract = |customer| {
         json!({
-            "credential_sha256": digest::encode(credential(house).as_bytes()),
+            "credential_sha256": digest::encode(credential(customer).as_bytes()),
             "rate": 100_000,
             "burst": 10_000,
-            "shares": { POOL: 100 / HOUSES.len() },
+            "shares": { POOL: 100 / CUSTOMERS.len() },
             "classes": [
                 { "name": "quote", "share": 70, "queue_timeout_ms": 500, "queue_limit": 256 },
                 { "name": "ledger", "share": 30, "queue_timeout_ms": 1_000, "queue_limit": 64 },
             ],
         })
     };
-    let customers = HOUSES.iter().enumerate();
-    let customers = customers.map(|(index, house)| ((*house).to_owned(), contract(index)));
-    let hosts = (0..RUNNERS).map(|index| (host(index), json!({ "pool": POOL })));
+    let customers = CUSTOMERS.iter().enumerate();
+    let customers = customers.map(|(index, customer)| ((*customer).to_owned(), contract(index)));
+    let hosts = (0..RUNNERS).map(|index| (runner_name(index), json!({ "pool": POOL })));
     let document = json!({
         "customers": customers.collect::<serde_json::Map<_, _>>(),
         "pools": { POOL: { "slots": SLOTS, "attempt_timeout_ms": 5_000 } },
--- a/crates/tool/src/demo/jobs/deployment.rs
+++ b/crates/tool/src/demo/jobs/deployment.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in and entries in this process.
+//! Stand-in of the platform, and entries, in this process.
 
 use crate::cli::Error;
 use bytes::Bytes;
@@ -33,28 +33,28 @@
 };
 use std::sync::Arc;
 
-/// Time for opening a connection on loopback.
-const CONNECT: Duration = Duration::from_secs(2);
-/// Time for an answer; callers of the platform wait for 3 s.
-const ANSWER: Duration = Duration::from_secs(3);
+/// Longest time for opening a connection on loopback.
+const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time for an answer; callers of the users' platform wait for 3 s.
+const ANSWER_LIMIT: Duration = Duration::from_secs(3);
 /// Largest answer in bytes.
-const ANSWER_BYTES: usize = 1 << 16;
+const ANSWER_BYTES_MAX: usize = 1 << 16;
 
-/// An entry in this process.
+/// An entry; `process` is `None` once it was stopped.
 struct Entry {
     name: String,
     callers: SocketAddr,
     process: Option<Process>,
 }
 
-/// The platform's stand-in and entries in this process.
+/// The stand-in of the platform and the entries.
 pub(super) struct Deployment {
     pub(super) cluster: Cluster,
     entries: Vec<Entry>,
 }
 
 impl Deployment {
-    /// Starts the platform and entries.
+    /// Starts the stand-in and this number of entries.
     pub(super) fn start(entries: usize) -> Result<Self, Report<Error>> {
         let pool = |name, hosts, standby| Pool {
             name,
@@ -80,12 +80,12 @@
             entries: Vec::new(),
         };
         for index in 0..entries {
-            deployment.add(&format!("entry-{index}"))?;
+            deployment.start_entry(&format!("entry-{index}"))?;
         }
         Ok(deployment)
     }
 
-    fn add(&mut self, name: &str) -> Result<(), Report<Error>> {
+    fn start_entry(&mut self, name: &str) -> Result<(), Report<Error>> {
         let text = self.cluster.settings(name).change_context(Error::Start)?;
         let settings = Settings::parse(&text).change_context(Error::Start)?;
         let logger = spdlog::Logger::builder().build();
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Stops the entry of this name in the planned way, and returns once it has ended.
+    /// Shuts the entry of this name down gracefully, and returns once it has ended.
     pub(super) async fn stop(&mut self, name: &str) -> Result<(), Report<Error>> {
         let entry = self.entries.iter_mut().find(|entry| entry.name == name);
         let Some(process) = entry.and_then(|entry| entry.process.take()) else {
@@ -112,21 +112,21 @@
             .change_context(Error::Demo)
     }
 
-    /// Returns the callers' addresses of the entries that run, but for one.
+    /// Returns the addresses for callers of all running entries but `name`.
     pub(super) fn callers_without(&self, name: &str) -> Vec<SocketAddr> {
         let others = self.entries.iter().filter(|entry| entry.name != name);
         let running = others.filter(|entry| entry.process.is_some());
         running.map(|entry| entry.callers).collect()
     }
 
-    /// Returns the callers' addresses of the entries that run.
+    /// Returns the addresses for callers of all running entries.
     pub(super) fn callers(&self) -> Vec<SocketAddr> {
         let running = self.entries.iter().filter(|entry| entry.process.is_some());
         running.map(|entry| entry.callers).collect()
     }
 }
 
-/// Sends a request of a caller, and returns the status and the body of the answer, if one came.
+/// Sends a request as a caller; returns the status and the body of the answer, or `None` if there was none in time.
 pub(super) async fn call(
     address: SocketAddr,
     method: Method,
@@ -140,9 +140,9 @@
         .body(Full::new(Bytes::from(body)))
         .ok()?;
     let limits = Limits {
-        connect: CONNECT,
-        answer: ANSWER,
-        bytes: ANSWER_BYTES,
+        connect: CONNECT_LIMIT,
+        answer: ANSWER_LIMIT,
+        bytes: ANSWER_BYTES_MAX,
     };
     let answer = Connection::new(address).call(request, limits).await.ok()?;
     let body = String::from_utf8_lossy(&answer.body).into_owned();
--- a/crates/tool/src/demo/jobs/jobs.rs
+++ b/crates/tool/src/demo/jobs/jobs.rs
@@ -1,4 +1,4 @@
-//! The course of the demo.
+//! Sequence of the demo of jobs.
 
 use super::{
     deployment::{
@@ -6,7 +6,7 @@
         call, //
     },
     report::{
-        Kept,
+        Counts,
         Summary,
         percentiles, //
     },
@@ -41,80 +41,82 @@
     },
 };
 
-/// Entries of the deployment.
+/// Number of entries.
 const ENTRIES: usize = 3;
 /// Time between two submissions.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Jobs that are submitted.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(50);
+/// Jobs that are submitted, besides the long-running one.
 const JOBS: u64 = 160;
-/// After this part of the jobs, in percent, the wave begins and the leader stops.
-const WAVE_AT: u64 = 20;
-const STOP_AT: u64 = 50;
-/// Hosts that may be in maintenance at once.
-const CAP: usize = 3;
+/// Percentage of the jobs after which the wave begins.
+const WAVE_START_PERCENT: u64 = 20;
+/// Percentage of the jobs after which the leader stops.
+const LEADER_STOP_PERCENT: u64 = 50;
+/// Most hosts that may be in maintenance at once.
+const MAINTENANCE_CAP: usize = 3;
 /// Seconds within which the wave has to be done.
 const WAVE_SECONDS: u64 = 30;
-/// Lasting tasks, and those that may be away at once.
-const LASTING: usize = 4;
+/// Tasks of the long-running job.
+const LONG_RUNNING: usize = 4;
+/// Tasks of the long-running job that may be stopped at once.
 const MAY_MISS: usize = 1;
-/// Identity of the lasting job; others count from 1.
-const LASTING_ID: u64 = 1 << 32;
-/// Pause between two questions for a state.
-const ASK_PAUSE: Duration = Duration::from_millis(40);
-/// Longest time for the end of everything.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Id of the long-running job; the ids of the others count from 1.
+const LONG_RUNNING_ID: u64 = 1 << 32;
+/// Pause between two requests for the state of a job, and before a submission is repeated.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Longest time from the last submission to the end of all jobs and of the wave.
+const END_LIMIT: Duration = Duration::from_secs(60);
 
-/// What the callers share.
+/// State that all callers share.
 #[derive(Default)]
 struct Callers {
     entries: RefCell<Vec<SocketAddr>>,
-    kept: RefCell<Kept>,
-    spans: RefCell<Vec<Duration>>,
+    counts: RefCell<Counts>,
+    latencies: RefCell<Vec<Duration>>,
 }
 
 impl Callers {
-    /// Returns an entry for a try of a caller.
-    fn entry(&self, seed: u64) -> Option<SocketAddr> {
+    /// Returns the entry for an attempt of a caller; attempts take turns among the entries.
+    fn entry(&self, attempt: u64) -> Option<SocketAddr> {
         let entries = self.entries.borrow();
-        let place = seed as usize % entries.len().max(1);
-        entries.get(place).copied()
+        let index = attempt as usize % entries.len().max(1);
+        entries.get(index).copied()
     }
 
-    /// Submits a job until it is accepted, and waits for its end if it has one.
+    /// Submits a job until it is accepted; if `ends`, also waits until it is done.
     async fn follow(self: Rc<Self>, queue: &'static str, id: u64, body: String, ends: bool) {
         let begun = Instant::now();
         let path = format!("/{queue}/{id:016x}");
-        let mut tries = id;
+        let mut attempts = id;
         loop {
-            tries += 1;
-            let Some(entry) = self.entry(tries) else {
+            attempts += 1;
+            let Some(entry) = self.entry(attempts) else {
                 return;
             };
             match call(entry, Method::POST, &path, body.clone()).await {
                 Some((StatusCode::OK, _)) => break,
-                Some((StatusCode::SERVICE_UNAVAILABLE, _)) => self.kept.borrow_mut().refused += 1,
-                // Without an answer the same id is sent again; it remains one job.
+                Some((StatusCode::SERVICE_UNAVAILABLE, _)) => self.counts.borrow_mut().refused += 1,
+                // Without an answer the job may have been accepted. The same id is sent again and remains one job.
                 _ => {}
             }
-            sleep(ASK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         if !ends {
             return;
         }
-        self.kept.borrow_mut().accepted += 1;
+        self.counts.borrow_mut().accepted += 1;
         loop {
-            tries += 1;
-            let Some(entry) = self.entry(tries) else {
+            attempts += 1;
+            let Some(entry) = self.entry(attempts) else {
                 return;
             };
             let answer = call(entry, Method::GET, &path, String::new()).await;
             if answer.is_some_and(|(_, body)| body.contains("done")) {
                 break;
             }
-            sleep(ASK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.kept.borrow_mut().done += 1;
-        self.spans.borrow_mut().push(begun.elapsed());
+        self.counts.borrow_mut().done += 1;
+        self.latencies.borrow_mut().push(begun.elapsed());
     }
 }
 
@@ -129,11 +131,14 @@
     let callers = Rc::new(Callers::default());
     callers.entries.replace(deployment.callers());
     Rc::clone(&callers)
-        .follow("orders", LASTING_ID, lasting(), false)
+        .follow("orders", LONG_RUNNING_ID, long_running_job(), false)
         .await;
     let hosts = deployment.cluster.hosts();
-    let least = Rc::new(RefCell::new(LASTING));
-    let watch = spawn_local(watch(deployment.cluster.clone(), Rc::clone(&least)));
+    let fewest = Rc::new(RefCell::new(LONG_RUNNING));
+    let watch = spawn_local(record_fewest_running(
+        deployment.cluster.clone(),
+        Rc::clone(&fewest),
+    ));
     let mut leaders = [String::new(), String::new()];
     let mut tasks = JoinSet::new();
     for id in 1..=JOBS {
@@ -142,58 +147,63 @@
             _ => ("quotes", job(80, &[4, 2])),
         };
         tasks.spawn_local(Rc::clone(&callers).follow(queue, id, body, true));
-        if id == JOBS * WAVE_AT / 100 {
+        if id == JOBS * WAVE_START_PERCENT / 100 {
             deployment
                 .cluster
-                .publish_wave(1, &hosts, WAVE_SECONDS, CAP);
+                .publish_wave(1, &hosts, WAVE_SECONDS, MAINTENANCE_CAP);
         }
-        if id == JOBS * STOP_AT / 100 {
+        if id == JOBS * LEADER_STOP_PERCENT / 100 {
             leaders[0] = leader(log).await?;
-            // The balancer sends no new connections to an entry that is about to stop.
+            // Like a load balancer, sends no new requests to an entry that is about to stop.
             callers.entries.borrow_mut().clear();
             let others = deployment.callers_without(&leaders[0]);
             callers.entries.replace(others);
             deployment.stop(&leaders[0]).await?;
         }
-        sleep(PAUSE).await;
+        sleep(SUBMIT_INTERVAL).await;
     }
     let ended = async {
         while tasks.join_next().await.is_some() {}
         while deployment.cluster.wave_state(1).as_deref() != Some("done") {
-            sleep(ASK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(LIMIT, ended).await.change_context(Error::Demo)?;
+    timeout(END_LIMIT, ended)
+        .await
+        .change_context(Error::Demo)?;
     watch.abort();
     leaders[1] = leader(log).await?;
     let (begun, most) = deployment.cluster.maintained(1);
-    let mut kept = *callers.kept.borrow();
-    kept.count_runs(&deployment.cluster.history());
-    let spans = callers.spans.take();
-    let least = *least.borrow();
+    let mut counts = *callers.counts.borrow();
+    counts.count_runs(&deployment.cluster.history());
+    let latencies = callers.latencies.take();
+    let fewest = *fewest.borrow();
     Ok(Summary {
-        kept,
-        latency_ms: percentiles(spans),
+        kept: counts,
+        latency_ms: percentiles(latencies),
         wave: [hosts.len(), begun, most],
-        cap: CAP,
-        lasting: [LASTING, least],
+        cap: MAINTENANCE_CAP,
+        lasting: [LONG_RUNNING, fewest],
         may_miss: MAY_MISS,
         leaders,
     })
 }
 
-/// Notes the least number of lasting tasks that run, once all of them have begun.
-async fn watch(cluster: sassafrascrank_standin::cluster::Cluster, least: Rc<RefCell<usize>>) {
-    let prefix = format!("{LASTING_ID:016x}");
+/// Records the fewest running tasks of the long-running job, from the time when all of them have begun.
+async fn record_fewest_running(
+    cluster: sassafrascrank_standin::cluster::Cluster,
+    fewest: Rc<RefCell<usize>>,
+) {
+    let prefix = format!("{LONG_RUNNING_ID:016x}");
     let mut begun = false;
     loop {
         let running = cluster.running(&prefix);
-        begun |= running >= LASTING;
+        begun |= running >= LONG_RUNNING;
         if begun {
-            let known = *least.borrow();
-            least.replace(known.min(running));
+            let known = *fewest.borrow();
+            fewest.replace(known.min(running));
         }
-        sleep(ASK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -203,7 +213,7 @@
     Ok(leader.map_or_else(String::new, |leader| leader.holder.to_string()))
 }
 
-/// Returns the body of a job with one step for each number of tasks, each after the one before.
+/// Returns the body of a job with one step for each number of tasks; each step depends on the one before.
 fn job(work_ms: u64, steps: &[u16]) -> String {
     let step = |(index, count): (usize, &u16)| {
         let after = match index {
@@ -219,10 +229,10 @@
     )
 }
 
-/// Returns the body of the lasting job.
-fn lasting() -> String {
+/// Returns the body of the long-running job.
+fn long_running_job() -> String {
     format!(
-        "{{\"spec\":\"lasting\",\"phases\":[{{\"count\":{LASTING},\"cpu\":500,\"memMb\":100,\"estimateMs\":100,\
+        "{{\"spec\":\"lasting\",\"phases\":[{{\"count\":{LONG_RUNNING},\"cpu\":500,\"memMb\":100,\"estimateMs\":100,\
          \"maxPerServer\":1,\"longRunning\":true,\"mayMiss\":{MAY_MISS}}}]}}"
     )
 }
--- a/crates/tool/src/demo/jobs/mod.rs
+++ b/crates/tool/src/demo/jobs/mod.rs
@@ -1,4 +1,5 @@
-//! Entries that accept jobs on the stand-in of the users' platform, through a wave and the loss of the leader.
+//! Demo of jobs: entries accept jobs on a stand-in of the users' platform, during a maintenance wave and a change of
+//! the leader.
 
 mod deployment;
 mod jobs;
@@ -6,6 +7,6 @@
 
 pub use jobs::run;
 pub use report::{
-    Kept,
+    Counts,
     Summary, //
 };
--- a/crates/tool/src/demo/jobs/report.rs
+++ b/crates/tool/src/demo/jobs/report.rs
@@ -1,4 +1,4 @@
-//! What was kept.
+//! Results of the demo of jobs.
 
 use core::{
     fmt::{
@@ -11,15 +11,15 @@
 use sassafrascrank_standin::cluster::Interval;
 use std::collections::BTreeMap;
 
-/// What became of jobs and tasks.
+/// Number of jobs and tasks by result.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(serde::Serialize)]
-pub struct Kept {
+pub struct Counts {
     /// Jobs that were accepted.
     pub accepted: usize,
     /// Those of them that were done in the end.
     pub done: usize,
-    /// Submissions that were refused as not run, and repeated.
+    /// Submissions that were rejected as not run, and sent again.
     pub refused: usize,
     /// Tasks that were done.
     pub tasks: usize,
@@ -29,8 +29,8 @@
     pub overlapped: usize,
 }
 
-impl Kept {
-    /// Counts tasks by the runs that runners have seen.
+impl Counts {
+    /// Counts tasks by the runs that the runners recorded.
     pub fn count_runs(&mut self, history: &[Interval]) {
         let mut done: BTreeMap<&str, usize> = BTreeMap::new();
         for run in history.iter().filter(|run| run.how == "done") {
@@ -50,32 +50,32 @@
     }
 }
 
-/// What a demo has shown.
+/// Results of the demo.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize)]
 pub struct Summary {
     /// Jobs and tasks.
-    pub kept: Kept,
-    /// Milliseconds from the submission to the end: half of the jobs, 99 of 100.
+    pub kept: Counts,
+    /// Time from the submission to the end of a job in milliseconds: median and 99th percentile.
     pub latency_ms: [u128; 2],
-    /// Hosts of the wave, those whose maintenance has begun, and the most at once.
+    /// Hosts of the wave, hosts whose maintenance has begun, and most hosts in maintenance at once.
     pub wave: [usize; 3],
-    /// Cap of the wave.
+    /// Most hosts that may be in maintenance at once.
     pub cap: usize,
-    /// Lasting tasks, and the least number of them that ran during the wave.
+    /// Tasks of the long-running job, and the fewest of them that ran at once.
     pub lasting: [usize; 2],
-    /// Those of the lasting tasks that may be away at once.
+    /// Tasks of the long-running job that may be stopped at once.
     pub may_miss: usize,
-    /// Entry that led before it stopped, and the one that led after it.
+    /// Entry that led until it was stopped, and entry that leads at the end.
     pub leaders: [String; 2],
 }
 
 impl Summary {
-    /// Tells whether everything was kept.
-    pub fn is_kept(&self) -> bool {
-        let kept = self.kept;
-        kept.accepted == kept.done
-            && kept.repeated + kept.overlapped == 0
+    /// Returns whether every accepted job was done, no task ran twice, all limits were kept and the leader changed.
+    pub fn is_success(&self) -> bool {
+        let counts = self.kept;
+        counts.accepted == counts.done
+            && counts.repeated + counts.overlapped == 0
             && self.wave[0] == self.wave[1]
             && self.wave[2] <= self.cap
             && self.lasting[1] + self.may_miss >= self.lasting[0]
@@ -83,19 +83,19 @@
     }
 }
 
-/// Returns the middle one and the one at 99 of 100 of some durations, in milliseconds.
-pub(super) fn percentiles(mut spans: Vec<Duration>) -> [u128; 2] {
-    spans.sort_unstable();
+/// Returns the median and the 99th percentile in milliseconds; 0 if there are no latencies.
+pub(super) fn percentiles(mut latencies: Vec<Duration>) -> [u128; 2] {
+    latencies.sort_unstable();
     let at = |part: usize| {
-        let place = (spans.len() * part / 100).min(spans.len().saturating_sub(1));
-        spans.get(place).map_or(0, Duration::as_millis)
+        let index = (latencies.len() * part / 100).min(latencies.len().saturating_sub(1));
+        latencies.get(index).map_or(0, Duration::as_millis)
     };
     [at(50), at(99)]
 }
 
 impl Display for Summary {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let Kept {
+        let Counts {
             accepted,
             done,
             refused,
@@ -122,15 +122,15 @@
             f,
             "wave      {begun} of {hosts} hosts maintained, at most {at_once} at once, the cap is {cap}"
         )?;
-        let [lasting, least] = self.lasting;
+        let [lasting, fewest] = self.lasting;
         writeln!(
             f,
-            "lasting   {lasting} tasks, {least} of them ran at the least, {} may be away",
+            "lasting   {lasting} tasks, {fewest} of them ran at the least, {} may be away",
             self.may_miss
         )?;
         let [before, after] = &self.leaders;
         writeln!(f, "leader    {before} until it stopped, then {after}")?;
-        let verdict = if self.is_kept() {
+        let verdict = if self.is_success() {
             "all was kept"
         } else {
             "something was lost: see above"
--- a/crates/tool/src/demo/mod.rs
+++ b/crates/tool/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! A small deployment in one process that is flooded by one customer and shuts one entry down.
+//! The verb `demo`: a small deployment in one process, under load from several customers. One of them floods it, and
+//! then one entry shuts down.
 
 mod caller;
 mod demo;
@@ -15,6 +16,6 @@
     run, //
 };
 pub use plan::{
-    HOUSES,
+    CUSTOMERS,
     Plan, //
 };
--- a/crates/tool/src/demo/plan.rs
+++ b/crates/tool/src/demo/plan.rs
@@ -9,35 +9,35 @@
     time::Duration, //
 };
 
-/// Customers of the deployment; the first one floods.
-pub const HOUSES: [&str; 4] = ["alba", "brisa", "cedro", "duna"];
-/// Pool that all houses share.
+/// Customers of the deployment; the first one sends the flood.
+pub const CUSTOMERS: [&str; 4] = ["alba", "brisa", "cedro", "duna"];
+/// Pool that all customers share.
 pub(super) const POOL: &str = "comun";
 /// Availability zone of all hosts.
 pub(super) const ZONE: &str = "nicoya";
-/// Entry processes.
+/// Number of entry processes.
 pub(super) const ENTRIES: u16 = 2;
-/// Upstream processes.
+/// Number of runners.
 pub(super) const RUNNERS: usize = 4;
-/// Slots of a runner.
+/// Slots of each runner.
 pub(super) const SLOTS: usize = 8;
-/// Quotes of a house a second. Half of its share: 4 of 32 slots, each for 20 ms.
+/// Quotes per second and customer. At 20 ms each they take 4 of the 32 slots, half of the share of a customer.
 const QUOTES_PER_SECOND: u32 = 200;
-/// Ledger jobs a second in the flood. Ten times what 32 slots can run, each for 100 ms.
+/// Ledger requests per second in the flood. At 100 ms each this is ten times what 32 slots can run.
 const LEDGER_PER_SECOND: u32 = 3_200;
-/// Least and most seconds of load; the phases need some hundred requests each.
+/// Range of seconds of load; each phase needs some hundred requests.
 pub(super) const SECONDS: core::ops::RangeInclusive<u64> = 5..=60;
 
-/// Time before the first phase. An entry starts with the least part of each upstream's slots, and its part grows after
-/// one report interval (1 s) at the next division (1 s).
+/// Load before the first phase that counts. An entry starts with the smallest part of the slots of each upstream. Its
+/// part grows when the slots are next divided (every 1 s) after its first demand report (every 1 s).
 const WARM_UP: Duration = Duration::from_millis(2_500);
 
 /// Addresses of the deployment, all on loopback.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Ports {
-    /// Any free ones.
+    /// Any free ports.
     Free,
-    /// Those of `examples/trenzas`, so that commands can name them.
+    /// The ports of `examples/trenzas`, so that commands can name them.
     Fixed,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// How long each phase takes, and the seed of the times between requests.
+/// Length of the load, and seed of the times between requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     /// Seconds of load after the warm-up.
@@ -112,7 +112,7 @@
 }
 
 impl Work {
-    /// Returns the time that a runner needs.
+    /// Returns the time that a runner takes for a request.
     pub(super) const fn service_time(self) -> Duration {
         match self {
             Self::Quote => Duration::from_millis(20),
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Returns the mean time between two requests of one house.
-    pub(super) fn gap(self) -> Duration {
+    /// Returns the mean time between two requests of one stream.
+    pub(super) fn interval(self) -> Duration {
         match self {
             Self::Quote => Duration::from_secs(1) / QUOTES_PER_SECOND,
             Self::Ledger => Duration::from_secs(1) / LEDGER_PER_SECOND,
--- a/crates/tool/src/demo/sample.rs
+++ b/crates/tool/src/demo/sample.rs
@@ -1,4 +1,4 @@
-//! What became of each request of the demo.
+//! Result of each request of the demo.
 
 use core::time::Duration;
 
@@ -7,13 +7,13 @@
 pub enum Phase {
     /// The entries learn service times.
     WarmUp,
-    /// Every house sends quotes.
+    /// Every customer sends quotes.
     Before,
-    /// One house floods the pool with ledger work as well.
+    /// One customer floods the pool with ledger work as well.
     Flood,
-    /// What the flood has left in the queues runs.
+    /// The requests that the flood left in the queues run.
     Settling,
-    /// Every house sends quotes.
+    /// Every customer sends quotes.
     After,
     /// One entry shuts down.
     Shutdown,
@@ -33,7 +33,7 @@
         Self::End,
     ];
 
-    /// Returns the name in the table.
+    /// Returns the name that the table shows.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::WarmUp => "warm-up",
@@ -50,9 +50,9 @@
 /// Kind of request; each is an urgency class of the contracts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Work {
-    /// Short and urgent.
+    /// Short, with a short deadline.
     Quote,
-    /// Long and patient.
+    /// Long, with a long deadline.
     Ledger,
 }
 
@@ -66,16 +66,16 @@
     }
 }
 
-/// What the caller saw.
+/// Outcome of a request as its caller sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
-    /// A whole answer of an upstream.
+pub enum Outcome {
+    /// A complete answer of an upstream.
     Answered,
-    /// A refusal: the request did not run.
+    /// A rejection: the request did not run.
     NotRun,
-    /// A refusal: the request may have run.
+    /// A rejection or an error: the request may have run.
     Unknown,
-    /// The connection broke before a whole answer or refusal.
+    /// The connection broke before a complete answer or rejection.
     Cut,
     /// No entry accepted the connection.
     Unsent,
@@ -84,14 +84,14 @@
 /// One request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Sample {
-    /// Index of the house.
-    pub house: usize,
+    /// Index of the customer.
+    pub customer: usize,
     /// Kind of request.
     pub work: Work,
     /// Part of the demo in which it began.
     pub phase: Phase,
-    /// What its caller saw.
-    pub fate: Fate,
-    /// Time until then.
+    /// Outcome as its caller saw it.
+    pub outcome: Outcome,
+    /// Time from the planned start of the request to its outcome.
     pub latency: Duration,
 }
--- a/crates/tool/src/demo/table.rs
+++ b/crates/tool/src/demo/table.rs
@@ -1,4 +1,4 @@
-//! Availability of the demo as text.
+//! Text output of the results.
 
 use super::report::Report;
 use core::fmt;
@@ -24,7 +24,7 @@
             writeln!(
                 f,
                 "{:<6} {:<6} {:<7} {:>8} {:>8} {:>8} {:>7} {:>4} {:>9.1} {:>9} {:>8}",
-                row.house,
+                row.customer,
                 row.work,
                 row.phase,
                 row.requests,
@@ -42,7 +42,7 @@
             "\nQuotes answered in time during the flood, in percent of those before it:"
         )?;
         for kept in &self.kept {
-            writeln!(f, "  {:<6} {:>6.1}", kept.house, kept.percent)?;
+            writeln!(f, "  {:<6} {:>6.1}", kept.customer, kept.percent)?;
         }
         self.write_shutdown(f)
     }
--- a/crates/tool/src/fleet/view.rs
+++ b/crates/tool/src/fleet/view.rs
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the platform does not answer in time or its log misses records that no snapshot replaces.
+/// Fails if the platform does not answer in time, or if its log lacks records that no snapshot replaces.
 pub fn read(platform: SocketAddr) -> Result<View, Report<Error>> {
     block_on(async {
         let fleet = timeout(READ_LIMIT, fetch(platform)).await;
--- a/crates/tool/src/jobs/host.rs
+++ b/crates/tool/src/jobs/host.rs
@@ -27,17 +27,20 @@
         for (_, entry) in state.replica.jobs() {
             let tasks = entry.progress.iter().flat_map(|progress| &progress.tasks);
             for task in tasks {
-                let here = task.assignments.iter().filter(|place| *place.host == *name);
+                let assignments = task
+                    .assignments
+                    .iter()
+                    .filter(|assignment| *assignment.host == *name);
                 let position = task.position;
-                runs.extend(here.map(|place| {
+                runs.extend(assignments.map(|assignment| {
                     format!(
                         "{} {}.{}.{} attempt {} at {}",
                         entry.id,
                         position.occurrence,
                         position.step,
                         position.index,
-                        place.attempt,
-                        place.runner
+                        assignment.attempt,
+                        assignment.runner
                     )
                 }));
             }
--- a/crates/tool/src/jobs/job.rs
+++ b/crates/tool/src/jobs/job.rs
@@ -127,10 +127,10 @@
 impl From<&Task> for Row {
     fn from(task: &Task) -> Self {
         let position = task.position;
-        let places = task.assignments.iter().map(|place| {
+        let places = task.assignments.iter().map(|assignment| {
             format!(
                 "{} on {}, attempt {}",
-                place.runner, place.host, place.attempt
+                assignment.runner, assignment.host, assignment.attempt
             )
         });
         Self {
--- a/crates/tool/src/pools/row.rs
+++ b/crates/tool/src/pools/row.rs
@@ -47,11 +47,11 @@
     pub progress: &'static str,
     /// Pool whose reservation record pauses or stops the wave in all pools.
     pub halted_by: Option<String>,
-    /// Hosts that get no new work while their work ends or moves.
+    /// Hosts that get no new work and complete their current work.
     pub draining: usize,
-    /// Hosts that have no work and may be rebooted.
+    /// Hosts that are drained and may be rebooted.
     pub out: usize,
-    /// Hosts that are back but not yet known to be healthy.
+    /// Hosts that have rebooted and have to stay healthy for the probation time.
     pub returning: usize,
     /// Hosts whose maintenance is done, broken or skipped.
     pub finished: usize,
--- a/crates/tool/tests/jobs.rs
+++ b/crates/tool/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! What the verb `jobs` shows of the log, and what the demo of jobs counts as kept.
+//! Output of the verb `jobs`, and results of the demo of jobs.
 
 use core::time::Duration;
 use sassafrascrank_base::prelude::*;
@@ -14,7 +14,7 @@
 use sassafrascrank_standin::cluster::Interval;
 use sassafrascrank_tool::{
     demo::jobs::{
-        Kept,
+        Counts,
         Summary, //
     },
     jobs::{
@@ -132,7 +132,7 @@
     state
 }
 
-/// Guards against an operator who sees another state than callers do, or no reason for it.
+/// Guards against a state that differs from the one that callers see, or that has no reason.
 #[test]
 fn jobs_hosts_and_leader_are_explained() {
     let state = state();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Guards against a demo that says that all was kept although a task ran twice.
+/// Guards against a demo that reports success although a task ran twice.
 #[test]
 fn demo_notices_tasks_that_ran_twice() {
     let history = [
@@ -170,14 +170,14 @@
         run("d", 0, 100, "done"),
         run("d", 100, 200, "done"),
     ];
-    let mut kept = Kept {
+    let mut counts = Counts {
         accepted: 2,
         done: 2,
-        ..Kept::default()
+        ..Counts::default()
     };
-    kept.count_runs(&history);
+    counts.count_runs(&history);
     let mut summary = Summary {
-        kept,
+        kept: counts,
         latency_ms: [100, 200],
         wave: [12, 12, 3],
         cap: 3,
@@ -186,8 +186,8 @@
         leaders: ["entry-0".to_owned(), "entry-1".to_owned()],
     };
     insta::assert_snapshot!(summary.to_string());
-    assert!(!summary.is_kept());
+    assert!(!summary.is_success());
     summary.kept.repeated = 0;
     summary.kept.overlapped = 0;
-    assert!(summary.is_kept());
+    assert!(summary.is_success());
 }
--- a/crates/tool/tests/report.rs
+++ b/crates/tool/tests/report.rs
@@ -1,42 +1,42 @@
-//! Availability of the demo, computed of given samples.
+//! Results of the demo, computed from given samples.
 
 use core::time::Duration;
 use sassafrascrank_tool::demo::{
     Plan,
     report::Report,
     sample::{
-        Fate,
+        Outcome,
         Phase,
         Sample,
         Work, //
     },
 };
 
-/// Guards against a loss that the table does not show: late answers, refusals, cut connections.
+/// Guards against failures that the table does not show: late answers, rejections, broken connections.
 #[test]
-fn losses_show_in_the_table() {
+fn failed_requests_show_in_the_table() {
     let plan = Plan::default();
     let mut samples = Vec::new();
     for number in 0..100 {
-        for house in 0..4 {
+        for customer in 0..4 {
             let sample = Sample {
-                house,
+                customer,
                 work: Work::Quote,
                 phase: Phase::Before,
-                fate: Fate::Answered,
+                outcome: Outcome::Answered,
                 latency: Duration::from_millis(20 + number),
             };
-            let fate = match (house, number) {
-                (1, 0..10) => Fate::NotRun,
-                (2, 0..5) => Fate::Unknown,
-                (3, 0) => Fate::Cut,
-                (3, 1) => Fate::Unsent,
-                _ => Fate::Answered,
+            let outcome = match (customer, number) {
+                (1, 0..10) => Outcome::NotRun,
+                (2, 0..5) => Outcome::Unknown,
+                (3, 0) => Outcome::Cut,
+                (3, 1) => Outcome::Unsent,
+                _ => Outcome::Answered,
             };
             let late = Duration::from_millis(501);
             let flood = Sample {
                 phase: Phase::Flood,
-                fate,
+                outcome,
                 ..sample
             };
             let after = Sample {
@@ -46,7 +46,7 @@
             };
             let shutdown = Sample {
                 phase: Phase::Shutdown,
-                fate,
+                outcome,
                 ..sample
             };
             samples.extend([sample, flood, after, shutdown]);
@@ -59,9 +59,9 @@
     ));
 }
 
-/// Guards against phases that overlap or leave a gap, so that requests count for the wrong one.
+/// Guards against phases that overlap or leave a gap, so that requests are counted in the wrong phase.
 #[test]
-fn phases_follow_one_another() {
+fn phases_are_contiguous() {
     let plan = Plan {
         seconds: 10,
         seed: 1,
