--- a/crates/tool/examples/overhead.rs
+++ b/crates/tool/examples/overhead.rs
@@ -1,4 +1,5 @@
-//! Compares requests through one entry with direct requests to the same runners: `overhead [ROUNDS]`.
+//! Compares the latency and rate of requests through one entry with direct requests to the same runners. Usage:
+//! `overhead [ROUNDS]`.
 //!
 //! Platform, runners and entry run in this process, on loopback addresses. Callers keep their connections and send the
 //! next request when the answer to the one before has arrived. Direct and entry rounds alternate.
@@ -52,12 +53,12 @@
 
 type Result<T> = core::result::Result<T, Box<dyn Error + Send + Sync>>;
 
-/// Rounds of each kind unless the command line says otherwise.
-const ROUNDS: usize = 5;
+/// Default number of rounds through the entry, and of direct rounds.
+const ROUNDS_DEFAULT: usize = 5;
 const RUNNERS: usize = 4;
 /// Threads that send requests.
 const THREADS: usize = 4;
-/// Milliseconds that a runner takes, callers at once, and requests of a round.
+/// Service time of a runner in milliseconds, concurrent callers, and requests of a round.
 const CASES: [[usize; 3]; 6] = [
     [0, 1, 2_000],
     [0, 8, 12_000],
@@ -66,12 +67,12 @@
     [1, 8, 4_000],
     [1, 64, 24_000],
 ];
-/// Time until the entry has its part of the slots: a report and a division.
+/// Time until the entry has its full part of the slots, which takes a demand report and the next division of the slots.
 const WARM_UP: Duration = Duration::from_secs(4);
 
 fn main() -> Result<()> {
     let rounds = std::env::args().nth(1).map(|text| text.parse());
-    let rounds = rounds.transpose()?.unwrap_or(ROUNDS).max(1);
+    let rounds = rounds.transpose()?.unwrap_or(ROUNDS_DEFAULT).max(1);
     let platform = Platform::start(platform::Settings::default())?;
     let runners = (0..RUNNERS).map(start_runner);
     let runners = runners.collect::<std::io::Result<Vec<Runner>>>()?;
@@ -90,14 +91,14 @@
     println!(
         "service callers | direct/s  entry/s ratio | direct p50 p99 | entry p50 p99 | added p50 p99"
     );
-    for [service, callers, requests] in CASES {
+    for [service_ms, callers, requests] in CASES {
         let mut rows = Vec::new();
         for _ in 0..rounds {
-            let near = round(&direct, service, callers, requests)?;
-            let far = round(&through, service, callers, requests)?;
-            rows.push((near, far));
+            let direct_row = round(&direct, service_ms, callers, requests)?;
+            let entry_row = round(&through, service_ms, callers, requests)?;
+            rows.push((direct_row, entry_row));
         }
-        print_row(service, callers, &rows);
+        print_row(service_ms, callers, &rows);
     }
     entry.shut_down()?;
     Ok(())
@@ -175,11 +176,16 @@
 struct Row {
     rate: f64,
     median: f64,
-    high: f64,
+    p99: f64,
 }
 
 /// Sends the requests of one round, spread over threads and addresses.
-fn round(addresses: &[SocketAddr], service: usize, callers: usize, requests: usize) -> Result<Row> {
+fn round(
+    addresses: &[SocketAddr],
+    service_ms: usize,
+    callers: usize,
+    requests: usize,
+) -> Result<Row> {
     let threads = callers.min(THREADS);
     let each = requests / callers;
     let start = Instant::now();
@@ -188,7 +194,7 @@
         let targets: Vec<_> = own
             .map(|caller| addresses[caller % addresses.len()])
             .collect();
-        thread::spawn(move || runtime()?.block_on(call_all(targets, service, each)))
+        thread::spawn(move || runtime()?.block_on(call_all(targets, service_ms, each)))
     });
     let workers: Vec<_> = workers.collect();
     let mut latencies = Vec::with_capacity(requests);
@@ -202,14 +208,18 @@
     Ok(Row {
         rate: latencies.len() as f64 / elapsed,
         median: at(50),
-        high: at(99),
+        p99: at(99),
     })
 }
 
-async fn call_all(targets: Vec<SocketAddr>, service: usize, each: usize) -> Result<Vec<Duration>> {
+async fn call_all(
+    targets: Vec<SocketAddr>,
+    service_ms: usize,
+    each: usize,
+) -> Result<Vec<Duration>> {
     let mut callers = JoinSet::new();
     for target in targets {
-        callers.spawn(call(target, service, each));
+        callers.spawn(call(target, service_ms, each));
     }
     let mut latencies = Vec::new();
     while let Some(result) = callers.join_next().await {
@@ -218,7 +228,7 @@
     Ok(latencies)
 }
 
-async fn call(target: SocketAddr, service: usize, count: usize) -> Result<Vec<Duration>> {
+async fn call(target: SocketAddr, service_ms: usize, count: usize) -> Result<Vec<Duration>> {
     let stream = TcpStream::connect(target).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
@@ -231,7 +241,7 @@
             .header("authorization", "Bearer secret")
             .header("sassafrascrank-pool", "quoting")
             .header("sassafrascrank-timeout", "8000")
-            .header("standin-service-ms", service.to_string())
+            .header("standin-service-ms", service_ms.to_string())
             .body(Full::new(Bytes::new()))?;
         let start = Instant::now();
         let answer = sender.send_request(request).await?;
@@ -245,22 +255,26 @@
     Ok(latencies)
 }
 
-fn print_row(service: usize, callers: usize, rows: &[(Row, Row)]) {
-    let direct = |figure: fn(&Row) -> f64| median(rows.iter().map(|(near, _)| figure(near)));
-    let entry = |figure: fn(&Row) -> f64| median(rows.iter().map(|(_, far)| figure(far)));
-    let ratio = median(rows.iter().map(|(near, far)| far.rate / near.rate));
-    let added =
-        |figure: fn(&Row) -> f64| median(rows.iter().map(|(near, far)| figure(far) - figure(near)));
+fn print_row(service_ms: usize, callers: usize, rows: &[(Row, Row)]) {
+    let direct = |figure: fn(&Row) -> f64| median(rows.iter().map(|(direct, _)| figure(direct)));
+    let entry = |figure: fn(&Row) -> f64| median(rows.iter().map(|(_, entry)| figure(entry)));
+    let ratio = median(rows.iter().map(|(direct, entry)| entry.rate / direct.rate));
+    let added = |figure: fn(&Row) -> f64| {
+        median(
+            rows.iter()
+                .map(|(direct, entry)| figure(entry) - figure(direct)),
+        )
+    };
     println!(
-        "{service:4} ms {callers:7} | {:8.0} {:8.0} {ratio:5.2} | {:7.0} {:6.0} | {:7.0} {:5.0} | {:6.0} {:6.0}",
+        "{service_ms:4} ms {callers:7} | {:8.0} {:8.0} {ratio:5.2} | {:7.0} {:6.0} | {:7.0} {:5.0} | {:6.0} {:6.0}",
         direct(|row| row.rate),
         entry(|row| row.rate),
         direct(|row| row.median),
-        direct(|row| row.high),
+        direct(|row| row.p99),
         entry(|row| row.median),
-        entry(|row| row.high),
+        entry(|row| row.p99),
         added(|row| row.median),
-        added(|row| row.high),
+        added(|row| row.p99),
     );
 }
 
--- a/crates/tool/tests/admin.rs
+++ b/crates/tool/tests/admin.rs
@@ -17,7 +17,7 @@
 };
 use std::thread::sleep;
 
-/// Runs the command until its output holds `text`, since an observe thread takes events in batches.
+/// Repeats the command until its output contains `text`, since an observe thread processes events in batches.
 fn run_until(arguments: &[&str], text: &str) -> String {
     for _ in 0..1_000 {
         let output = run(arguments, "");
@@ -32,7 +32,7 @@
 /// Address that no process listens on.
 const AWAY: &str = "127.0.0.1:1";
 
-/// Guards against an entry that is missing from the table without a word, or that hides the others.
+/// Guards against an unreachable entry that is not reported, or that prevents the others from being shown.
 #[test]
 fn status_shows_all_entries_and_names_those_without_an_answer() {
     let mut entries = [
--- a/crates/tool/tests/check.rs
+++ b/crates/tool/tests/check.rs
@@ -1,4 +1,4 @@
-//! Check of documents and settings files.
+//! Checks of configuration documents and settings files.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 const DIGEST: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
-/// Guards against an example that operators copy and that is rejected.
+/// Guards against an example file that the check rejects; operators copy the examples.
 #[test]
 fn every_example_is_accepted() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
--- a/crates/tool/tests/command.rs
+++ b/crates/tool/tests/command.rs
@@ -20,7 +20,7 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against a wrong command line that is taken for another one, or whose error names no remedy.
+/// Guards against a wrong command line that is accepted, or whose error names no remedy.
 #[test]
 fn wrong_command_lines_name_the_remedy() {
     let cases: &[&[&str]] = &[
@@ -98,9 +98,9 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against a digest that includes the line end of a file, or is taken of nothing.
+/// Guards against a digest that includes the line end of the input, or that is printed for an empty credential.
 #[test]
-fn digest_is_that_of_the_credential() {
+fn digest_excludes_the_line_end_and_refuses_wrong_lengths() {
     let long = "x".repeat(4_097);
     let mut report = String::new();
     for input in ["secret", "secret\n", "", "\n", long.as_str()] {
@@ -110,7 +110,7 @@
     insta::assert_snapshot!(report);
 }
 
-/// Guards against a key that entries don't accept, or that is given twice.
+/// Guards against a key that entries don't accept, or that is printed twice.
 #[test]
 fn keys_are_fresh_and_name_their_zone() {
     let keys: Vec<String> = (0..2)
--- a/crates/tool/tests/common/entry.rs
+++ b/crates/tool/tests/common/entry.rs
@@ -1,4 +1,4 @@
-//! An admin endpoint with a fixed state.
+//! Admin endpoint of an entry whose state the test sets.
 
 use sassafrascrank_base::prelude::*;
 use sassafrascrank_observe::{
@@ -42,7 +42,7 @@
 }
 
 impl Entry {
-    /// Starts the observe thread of `host` at time `millis`.
+    /// Starts the observe thread of `host` with a clock that stands at `millis` ms since the Unix epoch.
     pub fn start(host: &str, millis: u64) -> Self {
         let signal = Signal::new();
         let (sink, source) = event::ring("test", 64, &signal);
@@ -111,14 +111,14 @@
             .unwrap();
     }
 
-    /// Records events in their order.
+    /// Records events in the given order.
     pub fn record(&mut self, events: &[Event]) {
         for event in events {
             self.sink.record(*event);
         }
     }
 
-    /// Names another entry and returns its key.
+    /// Publishes a name table with one other entry and returns the key of that entry.
     pub fn member(&mut self, host: &str) -> entry::Key {
         let mut keys = SlotMap::with_key();
         let key = keys.insert(());
--- a/crates/tool/tests/common/fleet.rs
+++ b/crates/tool/tests/common/fleet.rs
@@ -34,9 +34,9 @@
     sync::Arc, //
 };
 
-/// Start of wave 100,000 in milliseconds since the Unix epoch; waves last three weeks. It is so late that the wave is
-/// never over by the clock of the machine.
-pub const START: u64 = 99_999 * 21 * 86_400_000;
+/// Start of wave 100,000 in milliseconds since the Unix epoch; a wave lasts three weeks. It lies so far in the future
+/// that the wave is never over by the clock of the machine.
+pub const WAVE_START_MS: u64 = 99_999 * 21 * 86_400_000;
 
 /// Hosts of each pool: the first half in Nicoya, the rest in Liberia, two to a rack.
 const POOLS: [(&str, usize); 3] = [("alba", 10), ("brisa", 4), ("comun", 6)];
@@ -47,7 +47,8 @@
 }
 
 impl Fleet {
-    /// Starts a platform whose hosts are all live and in service; `name` is unique among the tests.
+    /// Starts a platform whose hosts are all live and in service; `name` has to be unique among the tests, since a file
+    /// is named after it.
     pub fn start(name: &str) -> Self {
         let platform = Platform::start(Settings::default()).unwrap();
         platform.set_hosts(hosts());
@@ -70,7 +71,7 @@
         run_at(self.address(), arguments)
     }
 
-    /// Lists all hosts but those that `is_lost` names.
+    /// Removes the hosts for which `is_lost` holds from the list of the platform, and lists all others.
     pub fn lose(&self, is_lost: impl Fn(&Host) -> bool) {
         let mut hosts = hosts();
         hosts.retain(|host| !is_lost(host));
@@ -95,15 +96,16 @@
         assert_eq!(self.platform.append("config", &body), self.offset);
     }
 
-    /// Lets wave 100,000 run for an hour: in alba one host is done, one returns and one drains for a move.
+    /// Appends the records of a wave 100,000 that has run for an hour: in alba one host is done, one returns and one
+    /// drains for a move.
     pub fn run_wave(&mut self) {
         let wave = Wave {
             number: 100_000,
-            started: Time::from_millis(START),
-            since: Time::from_millis(START),
+            started: Time::from_millis(WAVE_START_MS),
+            since: Time::from_millis(WAVE_START_MS),
             ..Wave::default()
         };
-        let at = |minutes: u64| Time::from_millis(START + minutes * 60_000);
+        let at = |minutes: u64| Time::from_millis(WAVE_START_MS + minutes * 60_000);
         let absent = |step, minutes| Absence {
             step,
             since: at(minutes),
@@ -132,7 +134,7 @@
     }
 }
 
-/// Runs a verb against an address.
+/// Runs a verb against the platform at `address`.
 pub fn run_at(address: SocketAddr, arguments: &[&str]) -> String {
     let address = address.to_string();
     run(&[arguments, &["--platform", &address]].concat(), "")
--- a/crates/tool/tests/common/mod.rs
+++ b/crates/tool/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs commands of the tool within the test.
+//! Runs commands of the tool within the test process.
 
 #![allow(
     dead_code,
@@ -36,7 +36,8 @@
     path.to_str().unwrap().to_owned()
 }
 
-/// Replaces what differs between runs.
+/// Removes the path of the folder for test files, and makes the given replacements, so that snapshots don't differ
+/// between runs.
 pub fn mask(text: &str, changes: &[(&str, &str)]) -> String {
     let folder = format!("{}/", env!("CARGO_TARGET_TMPDIR"));
     let masked = text.replace(&folder, "");
--- a/crates/tool/tests/common/proxy.rs
+++ b/crates/tool/tests/common/proxy.rs
@@ -1,4 +1,4 @@
-//! A connection to the platform that lets something happen just before an append.
+//! Proxy in front of the platform that calls a hook just before each append.
 
 use std::{
     io::{
@@ -15,20 +15,20 @@
     thread, //
 };
 
-/// Passes connections on to `platform` and calls `hook` before each append; its thread ends with the process.
+/// Forwards connections to `platform` and calls `hook` before each append; its threads end with the process.
 pub fn start<F: Fn() + Clone + Send + 'static>(platform: SocketAddr, hook: F) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for caller in listener.incoming() {
             let hook = hook.clone();
-            thread::spawn(move || pass(caller?, TcpStream::connect(platform)?, hook));
+            thread::spawn(move || forward(caller?, TcpStream::connect(platform)?, hook));
         }
     });
     address
 }
 
-fn pass(mut caller: TcpStream, mut platform: TcpStream, hook: impl Fn()) -> io::Result<()> {
+fn forward(mut caller: TcpStream, mut platform: TcpStream, hook: impl Fn()) -> io::Result<()> {
     let (mut answers, mut back) = (platform.try_clone()?, caller.try_clone()?);
     thread::spawn(move || {
         io::copy(&mut answers, &mut back).ok();
--- a/crates/tool/tests/drain.rs
+++ b/crates/tool/tests/drain.rs
@@ -4,7 +4,7 @@
 
 use common::fleet::{
     Fleet,
-    START,
+    WAVE_START_MS,
     run_at, //
 };
 use common::proxy;
@@ -28,7 +28,7 @@
 #[test]
 fn hosts_leave_only_within_the_budget() {
     let fleet = Fleet::start("depart");
-    let at = (START + 3_600_000).to_string();
+    let at = (WAVE_START_MS + 3_600_000).to_string();
     let dry = ["--dry-run", "--at", &at];
     let cases: &[&[&str]] = &[
         &[&["drain", "alba-0"], &dry[..]].concat(),
@@ -64,13 +64,13 @@
     fleet.lose(|_| false);
     let mut reservation = Reservation::default();
     reservation.wave.progress = Progress::Stopped(Cause::Rack);
-    reservation.wave.since = Time::from_millis(START);
+    reservation.wave.since = Time::from_millis(WAVE_START_MS);
     fleet.reserve("comun", reservation);
     let cases: &[&[&str]] = &[&["drain", "alba-2"], &["move", "alba-2", "brisa"]];
     insta::assert_snapshot!(format!("{lost}\nstopped\n{}", show(&fleet, cases)));
 }
 
-/// Guards against two drains that each fit the budget, but not together.
+/// Guards against two concurrent drains that are both accepted although the budget allows only one of them.
 #[test]
 fn second_of_two_concurrent_drains_is_stale() {
     let fleet = Fleet::start("depart-race");
--- a/crates/tool/tests/fleet.rs
+++ b/crates/tool/tests/fleet.rs
@@ -6,7 +6,7 @@
     file,
     fleet::{
         Fleet,
-        START,
+        WAVE_START_MS,
         run_at, //
     },
     mask, //
@@ -22,9 +22,9 @@
     mask(&report, &[])
 }
 
-/// An hour into the wave of [`Fleet::run_wave`].
+/// Returns the time one hour after the start of the wave of [`Fleet::run_wave`].
 fn hour() -> String {
-    (START + 3_600_000).to_string()
+    (WAVE_START_MS + 3_600_000).to_string()
 }
 
 /// Guards against figures of a healthy fleet that are wrong, and against a host or pool that is not shown.
@@ -49,7 +49,7 @@
 fn a_lost_rack_uses_up_the_budget() {
     let mut fleet = Fleet::start("rack");
     let mut reservation = Reservation::default();
-    let since = sassafrascrank_base::time::Time::from_millis(START);
+    let since = sassafrascrank_base::time::Time::from_millis(WAVE_START_MS);
     reservation
         .failed
         .insert(common::fleet::name("alba-2"), since);
@@ -86,7 +86,7 @@
     insta::assert_snapshot!(show(&fleet, cases));
 }
 
-/// Guards against an answer about a host or pool that does not exist, or about a platform that does not answer.
+/// Guards against output for a host or pool that does not exist, or for a platform that does not answer.
 #[test]
 fn missing_hosts_and_pools_are_reported() {
     let fleet = Fleet::start("missing");
--- a/crates/tool/tests/publish.rs
+++ b/crates/tool/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing against the stand-in of the platform.
+//! Publication against the stand-in of the platform.
 
 mod common;
 
@@ -40,7 +40,7 @@
     insta::assert_snapshot!(first + &second);
 }
 
-/// Guards against an operator who is told "accepted" although another one was faster.
+/// Guards against a report of "accepted" although another writer changed the subject first.
 #[test]
 fn concurrent_change_makes_the_publication_stale() {
     let platform = Platform::start(Settings::default()).unwrap();
@@ -56,7 +56,7 @@
     insta::assert_snapshot!(publish(&path, proxy, "operator"));
 }
 
-/// Guards against "nothing was published" for an append that may have taken effect.
+/// Guards against a report of "nothing was published" for an append that may have taken effect.
 #[test]
 fn an_append_without_an_answer_is_unknown() {
     let platform = Arc::new(Platform::start(Settings::default()).unwrap());
@@ -69,13 +69,13 @@
     });
     let path = file("unknown.jsonc", POOL);
     let text = publish(&path, proxy, "operator");
-    // The reason depends on which of the repeats came last.
+    // The reason is that of the last retry, which depends on the timing.
     let reason = text.find(" (").zip(text.rfind("): "));
     let (from, to) = reason.unwrap();
     insta::assert_snapshot!(text.replace(&text[from..=to], ""));
 }
 
-/// Guards against a publication that waits for ever, or seems to have worked, while the platform is away.
+/// Guards against a publication that never ends, or that is reported as successful, while the platform is unreachable.
 #[test]
 fn nothing_is_published_while_the_platform_is_away() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -99,7 +99,7 @@
     insta::assert_snapshot!(mask(&(wrong + &empty), &[]));
 }
 
-/// Guards against an assignment to a pool that does not exist, which would leave the host without work.
+/// Guards against an assignment to a pool that does not exist, after which the host would get no work.
 #[test]
 fn a_host_in_an_unknown_pool_is_rejected_by_the_ledger() {
     let platform = Platform::start(Settings::default()).unwrap();
--- a/crates/tool/tests/wave.rs
+++ b/crates/tool/tests/wave.rs
@@ -6,7 +6,7 @@
     file,
     fleet::{
         Fleet,
-        START,
+        WAVE_START_MS,
         run_at, //
     },
     mask,
@@ -30,7 +30,7 @@
 }
 
 fn at(seconds: u64) -> String {
-    (START + seconds * 1_000).to_string()
+    (WAVE_START_MS + seconds * 1_000).to_string()
 }
 
 /// Guards against a wave whose end, or whose late pool and reason, is missing or wrong.
@@ -38,7 +38,7 @@
 fn the_wave_is_shown_with_its_end_and_late_pools() {
     let mut fleet = Fleet::start("wave");
     let hour = at(3_600);
-    // Less is left than the drains of comun need.
+    // The period ends before the drains of comun can end.
     let last = at(21 * 86_400 - 3_600);
     let path = file(
         "wave-brisa.jsonc",
@@ -61,7 +61,8 @@
     ));
 }
 
-/// Guards against an act that has no record, a wrong one, or one although it is refused or only a dry run.
+/// Guards against an action that publishes no record or a wrong one, or that publishes one although it is refused or a
+/// dry run.
 #[test]
 fn actions_on_the_wave_are_recorded() {
     let mut fleet = Fleet::start("acts");
@@ -95,7 +96,7 @@
     insta::assert_snapshot!(format!("{refused}\n{accepted}"));
 }
 
-/// Guards against an operator whose act overwrites one that was accepted after the fleet was read.
+/// Guards against an action that overwrites a change that was accepted after the fleet was read.
 #[test]
 fn concurrent_change_makes_the_action_stale() {
     let mut fleet = Fleet::start("race");
@@ -109,7 +110,7 @@
     insta::assert_snapshot!(format!("{slower}\n{}", show(&fleet, cases)));
 }
 
-/// Guards against "refused" or "nothing was published" for an act that may have taken effect.
+/// Guards against a report of "refused" or "nothing was published" for an action that may have taken effect.
 #[test]
 fn an_action_without_an_answer_is_unknown() {
     let mut fleet = Fleet::start("lost");
@@ -123,7 +124,7 @@
         });
     });
     let text = run_at(proxy, &["wave", "pause", "--timeout", "2"]);
-    // The reason depends on which of the repeats came last.
+    // The reason is that of the last retry, which depends on the timing.
     let reason = text.find(" (").zip(text.rfind("): "));
     let (from, to) = reason.unwrap();
     insta::assert_snapshot!(text.replace(&text[from..=to], ""));
