--- a/crates/sassafrascrank/src/lib.rs
+++ b/crates/sassafrascrank/src/lib.rs
@@ -1,4 +1,5 @@
-//! Facade over the decision crates, for programs that embed them.
+//! Re-exports the crates that decide about admission, queueing, routing, retries and the fleet, for programs that embed
+//! them.
 
 pub use sassafrascrank_base as base;
 pub use sassafrascrank_claim as claim;
