--- a/crates/tool/src/lib.rs
+++ b/crates/tool/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operator's command line, as functions that take arguments and a writer.
+//! The operator's command line as a library: each verb takes arguments and writes to a given output.
 
 pub mod check;
 pub mod cli;
 pub mod client;
 pub mod demo;
-pub mod departure;
 pub mod digest;
+pub mod drain;
 pub mod fleet;
 pub mod hosts;
 pub mod jobs;
