--- a/crates/control/src/clock/clock.rs
+++ b/crates/control/src/clock/clock.rs
@@ -13,8 +13,8 @@
 
 /// Clock that never goes back and keeps running while the host is suspended.
 ///
-/// A leader that was suspended has to notice that its lease has ended, but `CLOCK_MONOTONIC` stands still meanwhile. The
-/// clock starts at the wall-clock time, so that times of different processes can be compared roughly.
+/// A leader that was suspended has to notice that its lease has ended, but `CLOCK_MONOTONIC` stands still meanwhile.
+/// The clock starts at the wall-clock time, so that times of different processes can be compared roughly.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// Microseconds to add to the time since boot.
--- a/crates/control/src/control/output.rs
+++ b/crates/control/src/control/output.rs
@@ -31,8 +31,8 @@
     pub events: Vec<Event>,
 }
 
-/// Returns the log events for the scheduler's notes. Those on jobs are frequent, so their lines are among the first to be
-/// left out under load.
+/// Returns the log events for the scheduler's notes. Those on jobs are frequent, so their lines are among the first to
+/// be left out under load.
 pub(super) fn events(notes: Vec<Note>) -> impl Iterator<Item = Event> {
     note::group(notes).into_iter().map(event)
 }
--- a/crates/control/src/port/log.rs
+++ b/crates/control/src/port/log.rs
@@ -135,7 +135,8 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Page, ReadError>>;
 
-    /// Appends records with their keys to [`Topic::Jobs`], either all or none. Waits for the answer for up to `timeout`.
+    /// Appends records with their keys to [`Topic::Jobs`], either all or none. Waits for the answer for up to
+    /// `timeout`.
     fn append(
         &mut self,
         producer: &Producer,
--- a/crates/control/src/process/shutdown.rs
+++ b/crates/control/src/process/shutdown.rs
@@ -2,11 +2,11 @@
 
 use sassafrascrank_base::prelude::*;
 
-/// Share of the grace period after which connections close. The load balancer needs about 2 s to notice that an entry is
-/// not ready; with a grace period of 6 s, closing begins after 2.6 s.
+/// Share of the grace period after which connections close. The load balancer needs about 2 s to notice that an entry
+/// is not ready; with a grace period of 6 s, closing begins after 2.6 s.
 const CLOSE_SHARE: f64 = 0.43;
-/// Share of the grace period after which connections that are still open are dropped. With a grace period of 6 s, requests
-/// in progress have 2 s after closing has begun.
+/// Share of the grace period after which connections that are still open are dropped. With a grace period of 6 s,
+/// requests in progress have 2 s after closing has begun.
 const DROP_SHARE: f64 = 0.77;
 /// Share of the grace period after which the control thread ends. The rest is for the end of the other threads.
 const END_SHARE: f64 = 0.8;
--- a/crates/control/src/store/store.rs
+++ b/crates/control/src/store/store.rs
@@ -43,8 +43,8 @@
 /// How long a read of the jobs waits for a record. It has to be shorter than the election timeout, or a follower could
 /// not tell a leader that has stopped from a log that does not answer.
 const JOBS_WAIT: Duration = Duration::from_millis(400);
-/// How long a read of the operators' records waits for a record. A read on a connection that a network partition has cut
-/// fails only after this time and the margin of the call, and a configuration has to be in force 2 s after it was
+/// How long a read of the operators' records waits for a record. A read on a connection that a network partition has
+/// cut fails only after this time and the margin of the call, and a configuration has to be in force 2 s after it was
 /// published.
 const OPERATOR_WAIT: Duration = Duration::from_millis(900);
 /// How long a read of the service list waits for a record.
--- a/crates/control/src/store/tail.rs
+++ b/crates/control/src/store/tail.rs
@@ -94,8 +94,8 @@
             }
             Err(ReadError::Expired) => next = None,
             Err(ReadError::Unavailable(_)) => {
-                // Of operators and runners only the latest record of each key counts. These are fewer than all records that
-                // were missed.
+                // Of operators and runners only the latest record of each key counts. These are fewer than all records
+                // that were missed.
                 if topic != Topic::Jobs {
                     next = None;
                 }
--- a/crates/control/src/store/writer.rs
+++ b/crates/control/src/store/writer.rs
@@ -1,5 +1,5 @@
-//! Tasks that append callers' records and the leader's records. Each append has a sequence number, and is repeated until
-//! its result is known.
+//! Tasks that append callers' records and the leader's records. Each append has a sequence number, and is repeated
+//! until its result is known.
 
 use super::{
     Event,
@@ -40,8 +40,8 @@
 const BATCH_LIMIT: usize = 64;
 /// Largest size of one append of the leader. The log's limit is 2 MiB.
 const CHUNK_LIMIT_BYTES: usize = 1 << 20;
-/// Time for which a caller's record is retried while the log refuses it, and for which it may wait for its turn. It is a
-/// quarter of the shortest objective, so that the caller can still try another entry.
+/// Time for which a caller's record is retried while the log refuses it, and for which it may wait for its turn. It is
+/// a quarter of the shortest objective, so that the caller can still try another entry.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Pause before an append that the log refused is retried.
 const REFUSED_PAUSE: Duration = Duration::from_millis(40);
@@ -159,7 +159,8 @@
     pub(super) records: Vec<Record>,
 }
 
-/// Appends the leader's records until the thread ends. `epoch` is the epoch in which this entry leads, 0 if it does not.
+/// Appends the leader's records until the thread ends. `epoch` is the epoch in which this entry leads, 0 if it does
+/// not.
 pub(super) async fn write<L: Log>(
     mut appender: Appender<L>,
     queue: Rc<Queue<Write>>,
--- a/crates/control/tests/simulation/event.rs
+++ b/crates/control/tests/simulation/event.rs
@@ -224,8 +224,8 @@
         self.list_to_all();
     }
 
-    /// Returns `None` if the entry handles events now, `Some(Some(time))` if it is paused until `time`, and `Some(None)` if
-    /// the incarnation has ended.
+    /// Returns `None` if the entry handles events now, `Some(Some(time))` if it is paused until `time`, and
+    /// `Some(None)` if the incarnation has ended.
     fn deferred(&self, entry: usize, incarnation: u64) -> Option<Option<Duration>> {
         let entry = &self.entries[entry];
         if entry.incarnation != incarnation || entry.control.is_none() {
--- a/crates/control/tests/simulation/mod.rs
+++ b/crates/control/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! Entries, a log and runners in virtual time, with seeded faults.
 //!
 //! The entries run the product's own control state; the log and the runners are state machines of the crate `standin`.
-//! Calls take time, get lost or are carried out late, and connections are cut. The faults end before the run does, so that
-//! every accepted job has to be done at the end.
+//! Calls take time, get lost or are carried out late, and connections are cut. The faults end before the run does, so
+//! that every accepted job has to be done at the end.
 
 mod entry;
 mod event;
--- a/crates/control/tests/takeover.rs
+++ b/crates/control/tests/takeover.rs
@@ -1,8 +1,8 @@
 //! Takeovers of the lead under faults: no task runs twice at the same time, and no accepted job is lost.
 //!
-//! Guards against a new leader that starts a task again while it may still run at a runner that can't be reached, against
-//! orders of a former leader that was paused, against orders that arrive late, against lost answers of the log, and
-//! against a leader that acts on a claim after another entry has claimed.
+//! Guards against a new leader that starts a task again while it may still run at a runner that can't be reached,
+//! against orders of a former leader that was paused, against orders that arrive late, against lost answers of the log,
+//! and against a leader that acts on a claim after another entry has claimed.
 
 mod simulation;
 
--- a/crates/job/src/record/wire.rs
+++ b/crates/job/src/record/wire.rs
@@ -1,8 +1,9 @@
 //! Serialised records: a text key and a MessagePack value.
 //!
 //! The keys of a job's records are `j`, `c` and `p`, for submission, cancellation and progress, followed by the job's
-//! identity. The key of a wave is `w`, its number, `/` and the name of a host; the name is empty in the record that ends
-//! the wave. The key of an order is `h` and the name of the host. The leader and its forecast of demand have fixed keys.
+//! identity. The key of a wave is `w`, its number, `/` and the name of a host; the name is empty in the record that
+//! ends the wave. The key of an order is `h` and the name of the host. The leader and its forecast of demand have fixed
+//! keys.
 //!
 //! Structs are stored as arrays of their fields, so the order of the fields is part of the format.
 
--- a/crates/lead/src/election/election.rs
+++ b/crates/lead/src/election/election.rs
@@ -148,8 +148,8 @@
             self.due_since = None;
         }
         self.latest = Some(observation);
-        // The records that are read first after an outage of the log may have been written before it, so they don't show
-        // that the leader is alive.
+        // The records that are read first after an outage of the log may have been written before it, so they don't
+        // show that the leader is alive.
         let after_outage =
             self.last_read > Time::MIN && now.since(self.last_read) > self.timing.lease;
         self.observed_at = self
@@ -248,8 +248,8 @@
         self.leading().is_some() && now >= self.confirmed_at + self.timing.heartbeat
     }
 
-    /// Returns the time without a record of a leader after which this entry claims. `after_outage` tells whether the log
-    /// was unavailable for longer than a lease.
+    /// Returns the time without a record of a leader after which this entry claims. `after_outage` tells whether the
+    /// log was unavailable for longer than a lease.
     fn claim_delay(&self, after_outage: bool) -> Duration {
         let wait = self.stagger() + self.smaller_entry_delay();
         match self.latest {
--- a/crates/lead/src/election/timing.rs
+++ b/crates/lead/src/election/timing.rs
@@ -26,11 +26,11 @@
     /// Time between the last read of the log that is requested before a claim and the claim. It covers a read and the
     /// append of another entry's claim.
     pub refresh_wait: Duration,
-    /// Additional delay of an entry with at most half the processor capacity of the latest leader, so that larger entries
-    /// claim first.
+    /// Additional delay of an entry with at most half the processor capacity of the latest leader, so that larger
+    /// entries claim first.
     pub smaller_entry_delay: Duration,
-    /// Time for which a leader has led, as far as this entry has read, before an entry with twice its processor capacity
-    /// replaces it.
+    /// Time for which a leader has led, as far as this entry has read, before an entry with twice its processor
+    /// capacity replaces it.
     pub replace_delay: Duration,
 }
 
--- a/crates/lead/tests/election.rs
+++ b/crates/lead/tests/election.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Returns the milliseconds after which an entry with `capacity` claims the lead. It observes `leader` at each read until
-/// `silent_after`.
+/// Returns the milliseconds after which an entry with `capacity` claims the lead. It observes `leader` at each read
+/// until `silent_after`.
 fn first_claim(capacity: u32, leader: Option<Observation>, silent_after: Duration) -> Option<u128> {
     let mut election = Election::new(Timing::default(), 0, capacity, START);
     let mut now = START;
--- a/crates/platform/src/wire/host.rs
+++ b/crates/platform/src/wire/host.rs
@@ -15,7 +15,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct List {
-    /// Version of this list. The platform never reuses a version; it is absent if the platform does not version its lists.
+    /// Version of this list. The platform never reuses a version; it is absent if the platform does not version its
+    /// lists.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
     /// Version of the list to which this one lists the changes; absent if this list is complete.
@@ -88,7 +89,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if a value is invalid, if there are too many hosts, or if the changes refer to another version than `known`.
+    /// Fails if a value is invalid, if there are too many hosts, or if the changes refer to another version than
+    /// `known`.
     pub fn resolve(self, known: Option<(u64, &[api::Host])>) -> Result<Vec<api::Host>, Error> {
         let hosts = self.hosts.into_iter().map(TryInto::try_into);
         let mut hosts = hosts.collect::<Result<Vec<api::Host>, Error>>()?;
--- a/crates/platform/tests/client.rs
+++ b/crates/platform/tests/client.rs
@@ -195,8 +195,8 @@
     assert_eq!(platform.appends(), 4);
 }
 
-/// Guards against a client that waits forever for a response, and against a late response that is taken for the response
-/// to the next request.
+/// Guards against a client that waits forever for a response, and against a late response that is taken for the
+/// response to the next request.
 #[tokio::test]
 async fn slow_response_times_out() {
     let platform = start(100, 1);
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -19,8 +19,8 @@
 /// Timeout that no correct response exceeds, even on a loaded machine.
 const LONG_TIMEOUT: core::time::Duration = core::time::Duration::from_secs(30);
 
-/// Guards against a change of the host list that is lost or applied to another version, and against a whole list that is
-/// sent although little or nothing has changed.
+/// Guards against a change of the host list that is lost or applied to another version, and against a whole list that
+/// is sent although little or nothing has changed.
 #[tokio::test]
 async fn only_changes_of_the_host_list_are_sent() {
     let platform = Platform::start(Settings::default()).unwrap();
--- a/crates/standin/src/cluster/log.rs
+++ b/crates/standin/src/cluster/log.rs
@@ -160,7 +160,8 @@
         (topic.end(), rows.collect())
     }
 
-    /// Expires all records of a topic; only the newest record of each key stays readable, through [`newest`](Self::newest).
+    /// Expires all records of a topic; only the newest record of each key stays readable, through
+    /// [`newest`](Self::newest).
     pub fn expire(&mut self, topic: &str) {
         if let Some(topic) = self.topics.get_mut(topic) {
             topic.first = topic.end();
--- a/crates/standin/src/cluster/service.rs
+++ b/crates/standin/src/cluster/service.rs
@@ -101,7 +101,8 @@
     }
 }
 
-/// Decodes keyed records: the length of the record in four bytes, the length of the key in one byte, the key, the value.
+/// Decodes keyed records: the length of the record in four bytes, the length of the key in one byte, the key, the
+/// value.
 fn records(body: &[u8]) -> Option<Vec<(String, Vec<u8>)>> {
     let mut rest = body;
     let mut records = Vec::new();
--- a/crates/standin/src/cluster/worker.rs
+++ b/crates/standin/src/cluster/worker.rs
@@ -178,7 +178,8 @@
         Ok(())
     }
 
-    /// Returns the time of its clock in milliseconds. The clock starts at 1,000, since 0 would count as an absent clock.
+    /// Returns the time of its clock in milliseconds. The clock starts at 1,000, since 0 would count as an absent
+    /// clock.
     pub fn clock(&self, now: Duration) -> u64 {
         let elapsed = now.saturating_sub(self.clock_start).as_micros() as u64;
         1_000 + elapsed * self.rate / 1_000_000
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Returns the newest visible list as JSON text: only the changes if the version `since` is still known, the whole list
-    /// otherwise, or `None` if `since` is its version.
+    /// Returns the newest visible list as JSON text: only the changes if the version `since` is still known, the whole
+    /// list otherwise, or `None` if `since` is its version.
     pub(super) fn hosts(&self, since: Option<u64>) -> Option<String> {
         let lag = self.faults.host_lag;
         let mut lists = self.lists.iter().rev();
