--- a/crates/dispatch/tests/flood.rs
+++ b/crates/dispatch/tests/flood.rs
@@ -1,4 +1,5 @@
-//! Floods of requests against two entries of one zone that divide the slots of the upstreams between them.
+//! Floods of requests against two entries of one zone that divide the slots of the upstreams between them. The bounds
+//! are those of the design page, section 1.5.
 
 #[path = "common/config.rs"]
 mod config;
--- a/crates/route/tests/drain.rs
+++ b/crates/route/tests/drain.rs
@@ -13,7 +13,8 @@
 /// Time after which the host list shows that an upstream is leaving.
 const HOST_LIST_DELAY: Duration = Duration::from_secs(30);
 
-/// Longest time from the first sign that an upstream is leaving to the last new request at any entry.
+/// Longest time from the first sign that an upstream is leaving to the last new request at any entry; the limit of the
+/// invariant `drain` of the design page.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
 /// Time between two reports of an entry to its peers.
--- a/crates/tool/src/demo/demo.rs
+++ b/crates/tool/src/demo/demo.rs
@@ -80,7 +80,8 @@
 ";
 /// Range of seconds of serving without load.
 const SERVE_SECONDS: core::ops::RangeInclusive<u64> = 1..=3_600;
-/// Longest time until all entries serve quotes, which they do once the published contracts are in force.
+/// Longest time until all entries serve quotes, which they do once the published contracts are in force: the limit of
+/// the invariant `config` of the design page.
 const START_LIMIT: Duration = Duration::from_secs(8);
 
 /// Runs the verb.
